--- a/cli/configuration_file.h
+++ b/cli/configuration_file.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "core/planning.h"
+#include "core/call_model/planning.h"
 
 namespace ramppond {
 
--- a/control/platform_list.h
+++ b/control/platform_list.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "core/router.h"
+#include "core/call_model/router.h"
 
 namespace ramppond {
 
--- a/core/overload_below.cc
+++ b/core/admission/overload_below.cc
@@ -1,4 +1,4 @@
-#include "core/overload_below.h"
+#include "core/admission/overload_below.h"
 
 #include <algorithm>
 #include <cmath>
--- a/core/overload_below.h
+++ b/core/admission/overload_below.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "core/overload_controller.h"
+#include "core/admission/overload_controller.h"
 #include "core/time.h"
 
 namespace ramppond {
--- a/core/overload_controller.cc
+++ b/core/admission/overload_controller.cc
@@ -1,4 +1,4 @@
-#include "core/overload_controller.h"
+#include "core/admission/overload_controller.h"
 
 #include <algorithm>
 #include <cmath>
--- a/core/server_admission.cc
+++ b/core/admission/server_admission.cc
@@ -1,4 +1,4 @@
-#include "core/server_admission.h"
+#include "core/admission/server_admission.h"
 
 #include <algorithm>
 #include <iterator>
--- a/core/server_admission.h
+++ b/core/admission/server_admission.h
@@ -17,7 +17,7 @@
 #include <tuple>
 #include <vector>
 
-#include "core/overload_controller.h"
+#include "core/admission/overload_controller.h"
 #include "core/time.h"
 
 namespace ramppond {
@@ -47,7 +47,7 @@
   AdmissionId id = 0;
   std::uint32_t priority = 0;  ///< 0 is the most urgent.
   Duration patience{0};        ///< The longest that it may wait.
-  Duration pressing_wait{0};   ///< A wait that means full pressure; see core/patience.h.
+  Duration pressing_wait{0};   ///< A wait that means full pressure; see core/admission/patience.h.
   bool is_call = false;        ///< Of a server, or may be one.
   /// How long the server takes for requests of its route; one that is not known counts as short.
   std::optional<Duration> service_time = std::nullopt;
--- a/core/service_times.cc
+++ b/core/admission/service_times.cc
@@ -1,4 +1,4 @@
-#include "core/service_times.h"
+#include "core/admission/service_times.h"
 
 #include <algorithm>
 
--- a/core/call.cc
+++ b/core/call_model/call.cc
@@ -1,4 +1,4 @@
-#include "core/call.h"
+#include "core/call_model/call.h"
 
 #include <xxhash.h>
 
--- a/core/call.h
+++ b/core/call_model/call.h
@@ -5,9 +5,9 @@
 #include <functional>
 #include <string>
 
-#include "core/configuration.h"
+#include "core/call_model/configuration.h"
+#include "core/call_model/priority.h"
 #include "core/errors.h"
-#include "core/priority.h"
 #include "core/time.h"
 
 namespace ramppond {
--- a/core/configuration.cc
+++ b/core/call_model/configuration.cc
@@ -1,4 +1,4 @@
-#include "core/configuration.h"
+#include "core/call_model/configuration.h"
 
 #include <algorithm>
 #include <tuple>
--- a/core/planning.cc
+++ b/core/call_model/planning.cc
@@ -1,4 +1,4 @@
-#include "core/planning.h"
+#include "core/call_model/planning.h"
 
 #include <algorithm>
 #include <sstream>
--- a/core/planning.h
+++ b/core/call_model/planning.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "core/configuration.h"
+#include "core/call_model/configuration.h"
 #include "core/errors.h"
 
 namespace ramppond {
--- a/core/priority.cc
+++ b/core/call_model/priority.cc
@@ -1,4 +1,4 @@
-#include "core/priority.h"
+#include "core/call_model/priority.h"
 
 #include <xxhash.h>
 
--- a/core/priority.h
+++ b/core/call_model/priority.h
@@ -10,7 +10,7 @@
 #include <cstdint>
 #include <string>
 
-#include "core/configuration.h"
+#include "core/call_model/configuration.h"
 
 namespace ramppond {
 
--- a/core/router.cc
+++ b/core/call_model/router.cc
@@ -1,4 +1,4 @@
-#include "core/router.h"
+#include "core/call_model/router.h"
 
 #include <algorithm>
 
--- a/core/server_registry.cc
+++ b/core/call_model/server_registry.cc
@@ -1,4 +1,4 @@
-#include "core/server_registry.h"
+#include "core/call_model/server_registry.h"
 
 #include <xxhash.h>
 
--- a/core/admission_cut.cc
+++ b/core/call_port/admission_cut.cc
@@ -1,4 +1,4 @@
-#include "core/admission_cut.h"
+#include "core/call_port/admission_cut.h"
 
 #include <algorithm>
 
--- a/core/admission_cut.h
+++ b/core/call_port/admission_cut.h
@@ -9,7 +9,7 @@
 #include <map>
 #include <set>
 
-#include "core/priority.h"
+#include "core/call_model/priority.h"
 #include "core/time.h"
 
 namespace ramppond {
--- a/core/admission_queue.cc
+++ b/core/call_port/admission_queue.cc
@@ -1,4 +1,4 @@
-#include "core/admission_queue.h"
+#include "core/call_port/admission_queue.h"
 
 #include <limits>
 
--- a/core/admission_queue.h
+++ b/core/call_port/admission_queue.h
@@ -6,8 +6,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/call.h"
-#include "core/overload_policy.h"
+#include "core/call_model/call.h"
+#include "core/call_port/overload_policy.h"
 
 namespace ramppond {
 
--- a/core/call_scope.h
+++ b/core/call_port/call_scope.h
@@ -7,7 +7,7 @@
 #include <set>
 #include <utility>
 
-#include "core/call.h"
+#include "core/call_model/call.h"
 
 namespace ramppond {
 
--- a/core/concurrency_limiter.cc
+++ b/core/call_port/concurrency_limiter.cc
@@ -1,4 +1,4 @@
-#include "core/concurrency_limiter.h"
+#include "core/call_port/concurrency_limiter.h"
 
 #include <algorithm>
 #include <cmath>
--- a/core/concurrency_limiter.h
+++ b/core/call_port/concurrency_limiter.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <memory>
 
-#include "core/overload_policy.h"
+#include "core/call_port/overload_policy.h"
 #include "core/time.h"
 
 namespace ramppond {
--- a/core/control_session.cc
+++ b/core/call_port/control_session.cc
@@ -1,9 +1,9 @@
-#include "core/control_session.h"
+#include "core/call_port/control_session.h"
 
 #include <algorithm>
 
+#include "core/call_model/planning.h"
 #include "core/cbor_codec.h"
-#include "core/planning.h"
 
 namespace ramppond {
 namespace {
--- a/core/control_session.h
+++ b/core/call_port/control_session.h
@@ -12,10 +12,10 @@
 #include <string>
 #include <vector>
 
-#include "core/configuration.h"
+#include "core/call_model/configuration.h"
+#include "core/call_port/daemon_actions.h"
+#include "core/call_port/inbound_calls.h"
 #include "core/control/control_messages.h"
-#include "core/daemon_actions.h"
-#include "core/inbound_calls.h"
 #include "core/random.h"
 
 namespace ramppond {
--- a/core/daemon_actions.h
+++ b/core/call_port/daemon_actions.h
@@ -6,7 +6,7 @@
 #include <variant>
 #include <vector>
 
-#include "core/call.h"
+#include "core/call_model/call.h"
 #include "core/control/control_messages.h"
 #include "core/control/control_state.h"
 
--- a/core/daemon_core.cc
+++ b/core/call_port/daemon_core.cc
@@ -1,4 +1,4 @@
-#include "core/daemon_core.h"
+#include "core/call_port/daemon_core.h"
 
 #include <algorithm>
 
--- a/core/daemon_core.h
+++ b/core/call_port/daemon_core.h
@@ -7,12 +7,12 @@
 #include <optional>
 #include <string>
 
-#include "core/control_session.h"
-#include "core/daemon_actions.h"
-#include "core/front_door.h"
-#include "core/inbound_calls.h"
-#include "core/outbound_calls.h"
-#include "core/router.h"
+#include "core/call_model/router.h"
+#include "core/call_port/control_session.h"
+#include "core/call_port/daemon_actions.h"
+#include "core/call_port/front_door.h"
+#include "core/call_port/inbound_calls.h"
+#include "core/call_port/outbound_calls.h"
 
 namespace ramppond {
 
--- a/core/front_door.cc
+++ b/core/call_port/front_door.cc
@@ -1,4 +1,4 @@
-#include "core/front_door.h"
+#include "core/call_port/front_door.h"
 
 #include <algorithm>
 #include <array>
--- a/core/front_door.h
+++ b/core/call_port/front_door.h
@@ -4,10 +4,10 @@
 #include <map>
 #include <string>
 
-#include "core/call.h"
-#include "core/call_scope.h"
-#include "core/configuration.h"
-#include "core/overload_policy.h"
+#include "core/call_model/call.h"
+#include "core/call_model/configuration.h"
+#include "core/call_port/call_scope.h"
+#include "core/call_port/overload_policy.h"
 #include "core/random.h"
 
 namespace ramppond {
--- a/core/inbound_calls.h
+++ b/core/call_port/inbound_calls.h
@@ -7,16 +7,16 @@
 #include <string>
 #include <unordered_map>
 
-#include "core/admission_cut.h"
-#include "core/admission_queue.h"
-#include "core/call.h"
-#include "core/call_scope.h"
-#include "core/concurrency_limiter.h"
+#include "core/call_model/call.h"
+#include "core/call_port/admission_cut.h"
+#include "core/call_port/admission_queue.h"
+#include "core/call_port/call_scope.h"
+#include "core/call_port/concurrency_limiter.h"
+#include "core/call_port/daemon_actions.h"
+#include "core/call_port/overload_policy.h"
+#include "core/call_port/seen_calls.h"
 #include "core/control/control_state.h"
-#include "core/daemon_actions.h"
-#include "core/overload_policy.h"
 #include "core/random.h"
-#include "core/seen_calls.h"
 
 namespace ramppond {
 
--- a/core/outbound_calls.h
+++ b/core/call_port/outbound_calls.h
@@ -7,12 +7,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/call.h"
-#include "core/call_scope.h"
-#include "core/daemon_actions.h"
-#include "core/overload_policy.h"
-#include "core/retry_token_bucket.h"
-#include "core/router.h"
+#include "core/call_model/call.h"
+#include "core/call_model/router.h"
+#include "core/call_port/call_scope.h"
+#include "core/call_port/daemon_actions.h"
+#include "core/call_port/overload_policy.h"
+#include "core/call_port/retry_token_bucket.h"
 
 namespace ramppond {
 
--- a/core/overload_policy.cc
+++ b/core/call_port/overload_policy.cc
@@ -1,4 +1,4 @@
-#include "core/overload_policy.h"
+#include "core/call_port/overload_policy.h"
 
 #include <algorithm>
 
--- a/core/seen_calls.cc
+++ b/core/call_port/seen_calls.cc
@@ -1,4 +1,4 @@
-#include "core/seen_calls.h"
+#include "core/call_port/seen_calls.h"
 
 namespace ramppond {
 
--- a/core/seen_calls.h
+++ b/core/call_port/seen_calls.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <set>
 
-#include "core/call.h"
+#include "core/call_model/call.h"
 
 namespace ramppond {
 
--- a/core/control/control_core.h
+++ b/core/control/control_core.h
@@ -11,6 +11,7 @@
 #include <string>
 #include <vector>
 
+#include "core/call_model/server_registry.h"
 #include "core/consensus/raft.h"
 #include "core/consensus/snapshot_policy.h"
 #include "core/consensus/state_proof.h"
@@ -20,7 +21,6 @@
 #include "core/distribution/instance_registry.h"
 #include "core/distribution/proxy_messages.h"
 #include "core/distribution/traffic_history.h"
-#include "core/server_registry.h"
 #include "core/tenants/quota_ledger.h"
 
 namespace ramppond {
--- a/core/control/control_messages.h
+++ b/core/control/control_messages.h
@@ -5,10 +5,10 @@
 #include <string>
 #include <vector>
 
-#include "core/configuration.h"
+#include "core/call_model/configuration.h"
+#include "core/call_model/router.h"
 #include "core/consensus/raft_messages.h"
 #include "core/control/control_state.h"
-#include "core/router.h"
 
 namespace ramppond {
 
--- a/core/control/control_state.h
+++ b/core/control/control_state.h
@@ -10,12 +10,12 @@
 #include <string>
 #include <vector>
 
-#include "core/call.h"
-#include "core/configuration.h"
+#include "core/call_model/call.h"
+#include "core/call_model/configuration.h"
+#include "core/call_model/planning.h"
 #include "core/crash_evidence/evidence_log.h"
 #include "core/errors.h"
-#include "core/planning.h"
-#include "core/traffic_state.h"
+#include "core/traffic/traffic_state.h"
 
 namespace ramppond {
 
--- a/core/distribution/instance_record.h
+++ b/core/distribution/instance_record.h
@@ -22,7 +22,7 @@
   std::uint64_t incarnation = 0;  ///< Of the daemon's process; a later start has a higher one.
   std::uint64_t revision = 0;     ///< Rises with every change within an incarnation.
   std::string zone;
-  std::string instance_id;  ///< The incarnation of the server; see core/local_server.h.
+  std::string instance_id;  ///< The incarnation of the server; see core/lifecycle/local_server.h.
   std::string service;
   std::uint32_t slots = 0;  ///< Requests that the server works on at a time.
   InstanceState state = InstanceState::kNone;
--- a/core/distribution/proxy_messages.h
+++ b/core/distribution/proxy_messages.h
@@ -9,7 +9,7 @@
 #include "core/cbor_codec.h"
 #include "core/crash_evidence/instance_evidence.h"
 #include "core/distribution/instance_record.h"
-#include "core/traffic_configuration.h"
+#include "core/traffic/traffic_configuration.h"
 
 namespace ramppond {
 
--- a/core/distribution/proxy_session.h
+++ b/core/distribution/proxy_session.h
@@ -19,7 +19,7 @@
 #include "core/distribution/record_digests.h"
 #include "core/random.h"
 #include "core/time.h"
-#include "core/traffic_configuration.h"
+#include "core/traffic/traffic_configuration.h"
 
 namespace ramppond {
 
--- a/core/distribution/traffic_difference.h
+++ b/core/distribution/traffic_difference.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "core/traffic_configuration.h"
+#include "core/traffic/traffic_configuration.h"
 
 namespace ramppond {
 
--- a/core/distribution/traffic_history.h
+++ b/core/distribution/traffic_history.h
@@ -7,7 +7,7 @@
 #include <deque>
 #include <string>
 
-#include "core/traffic_configuration.h"
+#include "core/traffic/traffic_configuration.h"
 
 namespace ramppond {
 
--- a/core/external_api.h
+++ b/core/external_api.h
@@ -11,12 +11,12 @@
 #include <string_view>
 #include <vector>
 
-#include "core/local_server.h"
-#include "core/retry_budget.h"
+#include "core/lifecycle/local_server.h"
+#include "core/retries/retry_budget.h"
 #include "core/tenants/credential.h"
 #include "core/tenants/quota_bounds.h"
 #include "core/time.h"
-#include "core/traffic_state.h"
+#include "core/traffic/traffic_state.h"
 
 namespace ramppond {
 
--- a/core/instance_directory.h
+++ b/core/placement/instance_directory.h
@@ -13,9 +13,9 @@
 #include <string>
 #include <vector>
 
+#include "core/admission/overload_controller.h"
 #include "core/distribution/instance_registry.h"
-#include "core/overload_controller.h"
-#include "core/peer_liveness.h"
+#include "core/placement/peer_liveness.h"
 #include "core/random.h"
 #include "core/time.h"
 
--- a/core/peer_liveness.cc
+++ b/core/placement/peer_liveness.cc
@@ -1,4 +1,4 @@
-#include "core/peer_liveness.h"
+#include "core/placement/peer_liveness.h"
 
 namespace ramppond {
 namespace {
--- a/core/tenants/api_keys.h
+++ b/core/tenants/api_keys.h
@@ -8,7 +8,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/traffic_configuration.h"
+#include "core/traffic/traffic_configuration.h"
 
 namespace ramppond {
 
--- a/core/tenants/identity.h
+++ b/core/tenants/identity.h
@@ -8,7 +8,7 @@
 #include "core/tenants/api_keys.h"
 #include "core/tenants/authority_lease.h"
 #include "core/tenants/credential.h"
-#include "core/traffic_configuration.h"
+#include "core/traffic/traffic_configuration.h"
 
 namespace ramppond {
 
--- a/core/tenants/quota_gate.h
+++ b/core/tenants/quota_gate.h
@@ -19,7 +19,7 @@
 #include "core/tenants/quota_bounds.h"
 #include "core/tenants/quota_messages.h"
 #include "core/time.h"
-#include "core/traffic_configuration.h"
+#include "core/traffic/traffic_configuration.h"
 
 namespace ramppond {
 
--- a/core/tenants/tenant_rank.h
+++ b/core/tenants/tenant_rank.h
@@ -11,7 +11,7 @@
 #include <set>
 #include <vector>
 
-#include "core/traffic_configuration.h"
+#include "core/traffic/traffic_configuration.h"
 
 namespace ramppond {
 
--- a/core/traffic_configuration.cc
+++ b/core/traffic/traffic_configuration.cc
@@ -1,4 +1,4 @@
-#include "core/traffic_configuration.h"
+#include "core/traffic/traffic_configuration.h"
 
 #include <algorithm>
 #include <cctype>
--- a/core/traffic_state.cc
+++ b/core/traffic/traffic_state.cc
@@ -1,4 +1,4 @@
-#include "core/traffic_state.h"
+#include "core/traffic/traffic_state.h"
 
 #include <xxhash.h>
 
--- a/core/traffic_state.h
+++ b/core/traffic/traffic_state.h
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "core/errors.h"
-#include "core/traffic_configuration.h"
+#include "core/traffic/traffic_configuration.h"
 
 namespace ramppond {
 
--- a/daemon/daemon_settings.cc
+++ b/daemon/daemon_settings.cc
@@ -1,6 +1,6 @@
 #include "daemon/daemon_settings.h"
 
-#include "core/overload_policy.h"
+#include "core/call_port/overload_policy.h"
 
 namespace ramppond {
 namespace {
--- a/daemon/proxy/forwarded_attempt.cc
+++ b/daemon/proxy/forwarded_attempt.cc
@@ -1,8 +1,8 @@
 // The attempts of a forwarded request: choice of a server, sending, repeating.
 #include <algorithm>
 
+#include "core/admission/patience.h"
 #include "core/crash_evidence/request_digest.h"
-#include "core/patience.h"
 #include "daemon/proxy/forwarded_request.h"
 #include "daemon/proxy/peer_headers.h"
 #include "net/stream/http_status.h"
--- a/daemon/proxy/inbound_request.cc
+++ b/daemon/proxy/inbound_request.cc
@@ -1,7 +1,7 @@
 #include "daemon/proxy/inbound_request.h"
 
+#include "core/admission/patience.h"
 #include "core/overloaded.h"
-#include "core/patience.h"
 #include "daemon/proxy/peer_headers.h"
 #include "net/stream/http_status.h"
 
--- a/daemon/proxy/peer_headers.h
+++ b/daemon/proxy/peer_headers.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <string_view>
 
-#include "core/instance_directory.h"
-#include "core/overload_below.h"
+#include "core/admission/overload_below.h"
+#include "core/placement/instance_directory.h"
 #include "net/stream/http_head.h"
 
 namespace ramppond {
--- a/daemon/proxy/peer_ping.h
+++ b/daemon/proxy/peer_ping.h
@@ -1,7 +1,7 @@
 // Asks a peer daemon whether it still serves, apart from what its server does.
 //
 // Pings run over the connections that requests use. A daemon answers one at
-// once with its server's load; see core/peer_liveness.h for what follows from
+// once with its server's load; see core/placement/peer_liveness.h for what follows from
 // an answer and from its lack.
 #pragma once
 
--- a/daemon/proxy/proxy_process.h
+++ b/daemon/proxy/proxy_process.h
@@ -11,7 +11,7 @@
 
 #include "common/settings_watch.h"
 #include "core/distribution/proxy_session.h"
-#include "core/planned_stop.h"
+#include "core/lifecycle/planned_stop.h"
 #include "daemon/proxy/proxy_context.h"
 #include "net/stream/control_channels.h"
 #include "net/stream/http_server.h"
--- a/experiments/shed_level_model.py
+++ b/experiments/shed_level_model.py
@@ -3,7 +3,7 @@
 
 Prints, for each setting of the controller and each load, the share of the credit that is served,
 of trees of four calls (one point each) and of pairs of four (three points), and the calls that
-all servers refused. Figures in core/overload_controller.cc come from here.
+all servers refused. Figures in core/admission/overload_controller.cc come from here.
 """
 import heapq
 import itertools
@@ -39,7 +39,7 @@
 
 
 class Controller:
-    """The rules of core/overload_controller.cc, without its fall after a pause."""
+    """The rules of core/admission/overload_controller.cc, without its fall after a pause."""
 
     def __init__(self, setting):
         self.setting, self.pressure, self.integral, self.last = setting, 0.0, 0.0, 0.0
--- a/lab/deployment.h
+++ b/lab/deployment.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "core/planning.h"
+#include "core/call_model/planning.h"
 #include "core/time.h"
 
 namespace ramppond {
--- a/lab/simulation/recorder.h
+++ b/lab/simulation/recorder.h
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/configuration.h"
+#include "core/call_model/configuration.h"
 #include "core/time.h"
 #include "lab/history.h"
 
--- a/lab/simulation/simulated_backend.h
+++ b/lab/simulation/simulated_backend.h
@@ -6,8 +6,8 @@
 #include <memory>
 #include <string>
 
-#include "core/daemon_actions.h"
-#include "core/daemon_core.h"
+#include "core/call_port/daemon_actions.h"
+#include "core/call_port/daemon_core.h"
 #include "lab/simulation/world.h"
 #include "lab/work_body.h"
 
--- a/lab/simulation/simulated_daemon.h
+++ b/lab/simulation/simulated_daemon.h
@@ -6,7 +6,7 @@
 #include <memory>
 #include <string>
 
-#include "core/daemon_core.h"
+#include "core/call_port/daemon_core.h"
 #include "lab/simulation/simulated_backend.h"
 #include "lab/simulation/world.h"
 
--- a/lab/simulation/world.h
+++ b/lab/simulation/world.h
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "core/overload_policy.h"
+#include "core/call_port/overload_policy.h"
 #include "core/random.h"
 #include "lab/deployment.h"
 #include "lab/simulation/event_queue.h"
--- a/net/call_protocol.h
+++ b/net/call_protocol.h
@@ -4,7 +4,7 @@
 #include <optional>
 #include <string>
 
-#include "core/daemon_core.h"
+#include "core/call_port/daemon_core.h"
 #include "net/http_server.h"
 
 namespace ramppond {
--- a/tests/compatibility/wire_test.cc
+++ b/tests/compatibility/wire_test.cc
@@ -2,9 +2,9 @@
 // two versions run side by side during an upgrade, and files outlive the program that wrote them.
 #include <gtest/gtest.h>
 
-#include "core/call.h"
+#include "core/call_model/call.h"
+#include "core/call_model/configuration.h"
 #include "core/cbor_codec.h"
-#include "core/configuration.h"
 #include "core/consensus/raft_messages.h"
 #include "core/control/control_messages.h"
 #include "core/control/control_state.h"
@@ -13,8 +13,8 @@
 #include "core/distribution/proxy_messages.h"
 #include "core/distribution/traffic_difference.h"
 #include "core/tenants/quota_messages.h"
-#include "core/traffic_configuration.h"
-#include "core/traffic_state.h"
+#include "core/traffic/traffic_configuration.h"
+#include "core/traffic/traffic_state.h"
 #include "net/stream/frame_channel.h"
 #include "storage/raft_storage.h"
 #include "tests/compatibility/golden.h"
--- a/tests/core/circuit_breaker_test.cc
+++ b/tests/core/admission/circuit_breaker_test.cc
@@ -1,4 +1,4 @@
-#include "core/circuit_breaker.h"
+#include "core/admission/circuit_breaker.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/core/server_admission_test.cc
+++ b/tests/core/admission/server_admission_test.cc
@@ -1,4 +1,4 @@
-#include "core/server_admission.h"
+#include "core/admission/server_admission.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
--- a/tests/core/tree_shedding_test.cc
+++ b/tests/core/admission/tree_shedding_test.cc
@@ -7,10 +7,10 @@
 #include <ostream>
 #include <queue>
 
-#include "core/overload_below.h"
-#include "core/patience.h"
+#include "core/admission/overload_below.h"
+#include "core/admission/patience.h"
+#include "core/admission/server_admission.h"
 #include "core/random.h"
-#include "core/server_admission.h"
 
 namespace ramppond {
 namespace {
--- a/tests/core/planning_test.cc
+++ b/tests/core/call_model/planning_test.cc
@@ -1,4 +1,4 @@
-#include "core/planning.h"
+#include "core/call_model/planning.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
--- a/tests/core/router_test.cc
+++ b/tests/core/call_model/router_test.cc
@@ -1,10 +1,10 @@
-#include "core/router.h"
+#include "core/call_model/router.h"
 
 #include <gtest/gtest.h>
 
 #include <set>
 
-#include "core/server_registry.h"
+#include "core/call_model/server_registry.h"
 
 namespace ramppond {
 namespace {
--- a/tests/core/admission_test.cc
+++ b/tests/core/call_port/admission_test.cc
@@ -1,10 +1,10 @@
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
-#include "core/admission_cut.h"
-#include "core/admission_queue.h"
-#include "core/concurrency_limiter.h"
-#include "core/priority.h"
+#include "core/call_model/priority.h"
+#include "core/call_port/admission_cut.h"
+#include "core/call_port/admission_queue.h"
+#include "core/call_port/concurrency_limiter.h"
 
 namespace ramppond {
 namespace {
--- a/tests/core/call_scope_test.cc
+++ b/tests/core/call_port/call_scope_test.cc
@@ -1,10 +1,10 @@
-#include "core/call_scope.h"
+#include "core/call_port/call_scope.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
-#include "core/retry_token_bucket.h"
-#include "core/seen_calls.h"
+#include "core/call_port/retry_token_bucket.h"
+#include "core/call_port/seen_calls.h"
 
 namespace ramppond {
 namespace {
--- a/tests/core/control_session_test.cc
+++ b/tests/core/call_port/control_session_test.cc
@@ -1,10 +1,10 @@
-#include "core/control_session.h"
+#include "core/call_port/control_session.h"
 
 #include <gtest/gtest.h>
 
+#include "core/call_model/planning.h"
+#include "core/call_port/front_door.h"
 #include "core/cbor_codec.h"
-#include "core/front_door.h"
-#include "core/planning.h"
 
 namespace ramppond {
 namespace {
--- a/tests/core/inbound_calls_test.cc
+++ b/tests/core/call_port/inbound_calls_test.cc
@@ -1,4 +1,4 @@
-#include "core/inbound_calls.h"
+#include "core/call_port/inbound_calls.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/core/outbound_calls_test.cc
+++ b/tests/core/call_port/outbound_calls_test.cc
@@ -1,4 +1,4 @@
-#include "core/outbound_calls.h"
+#include "core/call_port/outbound_calls.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/core/cbor_codec_test.cc
+++ b/tests/core/cbor_codec_test.cc
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
-#include "core/call.h"
+#include "core/call_model/call.h"
 #include "core/consensus/raft_messages.h"
 #include "core/control/control_messages.h"
 
--- a/tests/core/local_server_test.cc
+++ b/tests/core/lifecycle/local_server_test.cc
@@ -1,4 +1,4 @@
-#include "core/local_server.h"
+#include "core/lifecycle/local_server.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/core/planned_stop_test.cc
+++ b/tests/core/lifecycle/planned_stop_test.cc
@@ -1,4 +1,4 @@
-#include "core/planned_stop.h"
+#include "core/lifecycle/planned_stop.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/core/instance_directory_test.cc
+++ b/tests/core/placement/instance_directory_test.cc
@@ -1,4 +1,4 @@
-#include "core/instance_directory.h"
+#include "core/placement/instance_directory.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/core/call_attribution_test.cc
+++ b/tests/core/retries/call_attribution_test.cc
@@ -1,4 +1,4 @@
-#include "core/call_attribution.h"
+#include "core/retries/call_attribution.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/core/retry_budget_test.cc
+++ b/tests/core/retries/retry_budget_test.cc
@@ -1,4 +1,4 @@
-#include "core/retry_budget.h"
+#include "core/retries/retry_budget.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/core/traffic_configuration_test.cc
+++ b/tests/core/traffic/traffic_configuration_test.cc
@@ -1,11 +1,11 @@
-#include "core/traffic_configuration.h"
+#include "core/traffic/traffic_configuration.h"
 
 #include <gtest/gtest.h>
 
 #include <functional>
 
 #include "core/cbor_codec.h"
-#include "core/traffic_state.h"
+#include "core/traffic/traffic_state.h"
 
 namespace ramppond {
 namespace {
--- a/tests/daemon/malformed_input_test.cc
+++ b/tests/daemon/malformed_input_test.cc
@@ -3,9 +3,9 @@
 
 #include <atomic>
 
+#include "core/call_model/planning.h"
 #include "core/cbor_codec.h"
 #include "core/control/control_messages.h"
-#include "core/planning.h"
 #include "daemon/daemon_process.h"
 #include "lab/child_process.h"
 #include "lab/fleet.h"
--- a/tests/platform/platform_api_test.cc
+++ b/tests/platform/platform_api_test.cc
@@ -8,7 +8,7 @@
 #include <sstream>
 
 #include "core/cbor_codec.h"
-#include "core/traffic_configuration.h"
+#include "core/traffic/traffic_configuration.h"
 
 namespace ramppond::platform {
 namespace {
