--- a/daemon/proxy/forwarded_answer.cc
+++ b/daemon/proxy/forwarded_answer.cc
@@ -38,20 +38,20 @@
   const std::string_view kind = std::string_view(*outcome).substr(0, end);
   own_answer_reason_ = *outcome;
   if (kind == kOutcomeBusy) {
-    own_answer_end_ = AttemptEnd::kNotSent;
+    own_answer_end_ = attempt_end::not_sent;
     context_.directory.onRefused(*instance_, EventLoop::now());
   } else if (kind == kOutcomeFenced) {
-    own_answer_end_ = AttemptEnd::kNotSent;
+    own_answer_end_ = attempt_end::not_sent;
     context_.directory.onFenced(*instance_, EventLoop::now());
   } else if (kind == kOutcomeElsewhere) {
-    own_answer_end_ = AttemptEnd::kNotSent;
+    own_answer_end_ = attempt_end::not_sent;
   } else if (kind == kOutcomeBarred) {
-    own_answer_end_ = AttemptEnd::kBarred;
+    own_answer_end_ = attempt_end::blocked;
     barred_for_ = parseMilliseconds(head.find(kPeerBarredMs));
   } else if (kind == kOutcomeNotRun) {
-    own_answer_end_ = AttemptEnd::kNotRun;
+    own_answer_end_ = attempt_end::not_run;
   } else {
-    own_answer_end_ = AttemptEnd::kUnknown;
+    own_answer_end_ = attempt_end::unknown;
     lost_runs_ += 1;
   }
 }
@@ -158,7 +158,7 @@
     return;
   }
   if (failure == ClientFailure::kNoSocket) {
-    afterAttempt(AttemptEnd::kNotSent, "no socket");
+    afterFailure(attempt_failure::no_socket, heldBack());
     return;
   }
   const bool not_connected =
@@ -168,10 +168,10 @@
     context_.directory.onUnreachable(*instance_, EventLoop::now());
   }
   if (not_connected) {
-    afterAttempt(AttemptEnd::kNotSent, "not connected");
+    afterFailure(attempt_failure::not_connected, held_back);
     return;
   }
-  afterAttempt(held_back ? AttemptEnd::kNotSent : AttemptEnd::kUnknown, "connection lost");
+  afterFailure(attempt_failure::connection_lost, held_back);
 }
 
 Duration ForwardedRequest::retryAfter() {
--- a/daemon/proxy/forwarded_attempt.cc
+++ b/daemon/proxy/forwarded_attempt.cc
@@ -3,6 +3,8 @@
 
 #include "core/admission/patience.h"
 #include "core/crash_evidence/request_digest.h"
+#include "core/retries/retry_reserve.h"
+#include "core/retries/server_wait.h"
 #include "daemon/proxy/forwarded_request.h"
 #include "daemon/proxy/peer_headers.h"
 #include "net/stream/http_status.h"
@@ -10,44 +12,11 @@
 namespace ramppond {
 namespace {
 
-// Attempts, whether a server received them or not.
-constexpr std::size_t kMaximumTried = 6;
-// A request for a service of which no server is known waits for this share of its goal.
-constexpr std::int64_t kServerWaitDivisor = 4;
-constexpr Duration kServerWaitInterval = milliseconds(20);
 // A peer answers within the time that a request may wait there and a round trip.
 constexpr Duration kAdmissionMargin = milliseconds(250);
-constexpr Duration kLeastTimeForAttempt = milliseconds(10);
-// A request that lost two servers is more likely their end than a bystander of both.
-constexpr std::uint32_t kMostLostRuns = 2;
-
-// A repeat is worth what it completes: the last call of a run completes it with one more success,
-// an earlier one needs as many as are to come. So the later a call's place, the less it must leave
-// in the budget. A client's request has no work behind it.
-constexpr double kReserveACallToCome = 0.25;
-constexpr double kMostReserve = 0.75;
-constexpr double kReserveOfClients = 0.25;
-constexpr double kReserveOfUnknownPlace = 0.5;
-
-budget_reserve reserve_of(bool is_call, std::optional<std::uint32_t> calls_to_come) {
-  if (!is_call) {
-    return {kReserveOfClients};
-  }
-  if (!calls_to_come) {
-    return {kReserveOfUnknownPlace};
-  }
-  return {std::min(kMostReserve, kReserveACallToCome * *calls_to_come)};
-}
 
 }  // namespace
 
-// Right after a restart no server may be known yet: whoever waits for one shortly is served within
-// its goal, while the parent of a refused call has run for nothing.
-bool ForwardedRequest::mayWaitForServer(TimePoint now) const {
-  return tried_.empty() && now - received_ < route_->goal / kServerWaitDivisor &&
-         timeLeft() > kLeastTimeForAttempt;
-}
-
 // Repeats hold the same body, so it is made once.
 void ForwardedRequest::makeDigest() {
   if (!digest_.empty()) {
@@ -61,11 +30,12 @@
 void ForwardedRequest::attempt() {
   const TimePoint now = EventLoop::now();
   instance_ = context_.directory.choose(service_, route_->name, tried_, now);
-  if (instance_ == nullptr && mayWaitForServer(now)) {
-    wait_timer_.after(kServerWaitInterval, [this] { attempt(); });
+  if (instance_ == nullptr &&
+      may_wait_for_server(tried_.size(), now - received_, route_->goal, timeLeft())) {
+    wait_timer_.after(server_wait_interval, [this] { attempt(); });
     return;
   }
-  if (instance_ == nullptr || tried_.size() >= kMaximumTried || timeLeft() < kLeastTimeForAttempt) {
+  if (instance_ == nullptr || !may_attempt(tried_.size(), timeLeft())) {
     instance_ = nullptr;
     if (run_possible_) {
       answerOwn(kBadGateway, "no server left", false);
@@ -140,7 +110,7 @@
   const auto self = shared_from_this();
   context_.directory.onUnreachable(*instance_, EventLoop::now());
   upstream_->cancel();
-  afterAttempt(AttemptEnd::kNotSent, "not admitted");
+  afterFailure(attempt_failure::not_admitted, true);
 }
 
 void ForwardedRequest::endAttempt() {
@@ -156,37 +126,42 @@
   answer_body_.clear();
 }
 
-bool ForwardedRequest::mayRepeat(AttemptEnd end, std::uint32_t arrivals) {
-  if (body_streamed_ || tried_.size() >= kMaximumTried || timeLeft() < kLeastTimeForAttempt) {
-    return false;
-  }
-  if (end == AttemptEnd::kBarred || lost_runs_ >= kMostLostRuns) {
-    return false;
-  }
-  if (end == AttemptEnd::kNotSent) {
-    return true;
-  }
-  if (end == AttemptEnd::kUnknown && !isRepeatable(route_->kind)) {
-    return false;
-  }
-  if (arrivals >= route_->max_attempts) {
-    return false;
-  }
+retry_verdict ForwardedRequest::judgeRetry(attempt_end end, std::uint32_t arrivals) const {
+  ended_attempt ended;
+  ended.end = end;
+  ended.may_run_twice = isRepeatable(route_->kind);
+  ended.body_held = !body_streamed_;
+  ended.attempts = tried_.size();
+  ended.arrivals = arrivals;
+  ended.max_arrivals = route_->max_attempts;
+  ended.lost_runs = lost_runs_;
+  ended.time_left = timeLeft();
+  return judge_retry(ended);
+}
+
+bool ForwardedRequest::payForRetry() {
   const budget_reserve reserve = reserve_of(is_call_, attributed_.calls_to_come);
   const budget_draw draw = {context_.random.uniform()};
-  if (!context_.budget(service_).take(EventLoop::now(), reserve, draw)) {
+  const bool paid = context_.budget(service_).take(EventLoop::now(), reserve, draw);
+  if (paid) {
+    context_.counters.repeats += 1;
+  } else {
     context_.counters.repeats_unpaid += 1;
-    return false;
   }
-  context_.counters.repeats += 1;
-  return true;
+  return paid;
 }
 
-void ForwardedRequest::noteAttempt(AttemptEnd end) {
+bool ForwardedRequest::obtainRetry(const retry_verdict& verdict) {
+  if (std::holds_alternative<retry_to_be_paid>(verdict)) {
+    return payForRetry();
+  }
+  return std::holds_alternative<retry_free>(verdict);
+}
+
+void ForwardedRequest::noteAttempt(attempt_end end) {
   endAttempt();
-  const bool received = end == AttemptEnd::kNotRun || end == AttemptEnd::kUnknown;
-  arrivals_ += received ? 1 : 0;
-  run_possible_ = run_possible_ || end == AttemptEnd::kUnknown;
+  arrivals_ += was_received(end) ? 1 : 0;
+  run_possible_ = run_possible_ || end == attempt_end::unknown;
 }
 
 void ForwardedRequest::repeat(const std::string& reason) {
@@ -210,21 +185,23 @@
     onNotAdmitted();
     return;
   }
-  if (!isRepeatable(route_->kind)) {
-    return;
-  }
-  if (!mayRepeat(AttemptEnd::kUnknown, arrivals_ + 1)) {
+  const attempt_end end = end_of(attempt_failure::peer_silent, false);
+  if (!obtainRetry(judgeRetry(end, arrivals_ + 1))) {
     return;
   }
   upstream_->cancel();
-  noteAttempt(AttemptEnd::kUnknown);
-  repeat("peer silent");
+  noteAttempt(end);
+  repeat(std::string(text_of(attempt_failure::peer_silent)));
+}
+
+void ForwardedRequest::afterFailure(attempt_failure failure, bool held_back) {
+  afterAttempt(end_of(failure, held_back), std::string(text_of(failure)));
 }
 
-void ForwardedRequest::afterAttempt(AttemptEnd end, const std::string& reason) {
+void ForwardedRequest::afterAttempt(attempt_end end, const std::string& reason) {
   noteAttempt(end);
-  if (mayRepeat(end, arrivals_)) {
-    context_.counters.repeats_of_unknown += end == AttemptEnd::kUnknown ? 1 : 0;
+  if (obtainRetry(judgeRetry(end, arrivals_))) {
+    context_.counters.repeats_of_unknown += end == attempt_end::unknown ? 1 : 0;
     repeat(reason);
     return;
   }
--- a/daemon/proxy/forwarded_request.h
+++ b/daemon/proxy/forwarded_request.h
@@ -6,6 +6,7 @@
 #include <set>
 #include <string>
 
+#include "core/retries/retry_rule.h"
 #include "daemon/proxy/proxy_context.h"
 #include "net/stream/http_client.h"
 #include "net/stream/http_server.h"
@@ -40,20 +41,11 @@
   void onRequestDrained() override;
 
  private:
-  /// How an attempt ended, as far as a next one is concerned.
-  enum class AttemptEnd : std::uint8_t {
-    kNotSent,  ///< No server received it.
-    kNotRun,   ///< A server received it and did not run it.
-    kUnknown,  ///< It may have run.
-    kBarred,   ///< No server received it, and none will: it ends the servers that run it.
-  };
-
   void start();
   bool admitHead();
   /// Finds the tenant and takes the credential off the request, or answers at once.
   bool admitTenant();
   bool admitByQuota();
-  [[nodiscard]] bool mayWaitForServer(TimePoint now) const;
   /// Whether a client's request is refused at once for overload at a service that it needs.
   bool shed(Duration wanted);
   void noteLoad(const HttpHead& head);
@@ -64,11 +56,16 @@
   /// Whether the attempt under way cannot have reached a server: its end is still held back.
   [[nodiscard]] bool heldBack() const { return confirms_ && !confirmed_; }
   void endAttempt();
-  void afterAttempt(AttemptEnd end, const std::string& reason);
-  void noteAttempt(AttemptEnd end);
+  void afterFailure(attempt_failure failure, bool held_back);
+  void afterAttempt(attempt_end end, const std::string& reason);
+  void noteAttempt(attempt_end end);
   void repeat(const std::string& reason);
-  /// Whether another attempt may follow on one that ended so, `arrivals` with it; pays for it.
-  [[nodiscard]] bool mayRepeat(AttemptEnd end, std::uint32_t arrivals);
+  /// Whether another attempt may follow on one that ended so; `arrivals` counts that one too.
+  [[nodiscard]] retry_verdict judgeRetry(attempt_end end, std::uint32_t arrivals) const;
+  /// Takes a retry from the service's budget. False if there is not enough left.
+  bool payForRetry();
+  /// Carries out a verdict: pays where it asks for that. Whether the retry is to be made.
+  bool obtainRetry(const retry_verdict& verdict);
   void onDeadline();
   void readOutcome(const HttpHead& head);
   void releaseAnswer();
@@ -106,7 +103,7 @@
   bool confirmed_ = false;      ///< It has been sent.
   bool over_ = false;
   bool own_answer_ = false;  ///< The attempt's answer was made by the peer daemon.
-  AttemptEnd own_answer_end_ = AttemptEnd::kNotSent;
+  attempt_end own_answer_end_ = attempt_end::not_sent;
   std::string own_answer_reason_;
   HttpHead answer_head_;
   std::string answer_body_;
