--- a/daemon/proxy/forwarded_answer.cc
+++ b/daemon/proxy/forwarded_answer.cc
@@ -1,6 +1,7 @@
 // What comes back to a forwarded request: the answer of its server, or one of the daemons.
 #include <algorithm>
 
+#include "core/answers/retry_after.h"
 #include "daemon/proxy/forwarded_request.h"
 #include "daemon/proxy/peer_headers.h"
 #include "net/stream/http_status.h"
@@ -10,19 +11,32 @@
 
 // Answers up to this size leave when they are whole, so that one that breaks off can be repeated.
 constexpr std::size_t kHeldAnswerBytes = 49152;
-// Told to whoever is refused: a third to two thirds of the goal, drawn so that those refused
-// together do not come back together.
-constexpr std::int64_t kRetryAfterDivisor = 3;
-constexpr Duration kLeastRetryAfter = milliseconds(100);
-// Without a configuration there is no goal: about as long as the control group needs to elect.
-constexpr Duration kRetryAfterWithoutConfiguration = milliseconds(400);
 
-// Seconds with three decimals.
-std::string formatSeconds(Duration time) {
-  const std::int64_t thousandths = std::chrono::duration_cast<milliseconds>(time).count();
-  std::string digits = std::to_string(thousandths % 1000);
-  digits.insert(0, 3 - digits.size(), '0');
-  return std::to_string(thousandths / 1000) + "." + digits;
+std::uint64_t* counterOf(own_answer_counter counter, ProxyCounters& counters) {
+  switch (counter) {
+    case own_answer_counter::none:
+      return nullptr;
+    case own_answer_counter::no_route:
+      return &counters.no_route;
+    case own_answer_counter::no_tenant:
+      return &counters.no_tenant;
+    case own_answer_counter::no_authority:
+      return &counters.no_authority;
+    case own_answer_counter::beyond_limit:
+      return &counters.beyond_limit;
+    case own_answer_counter::shed:
+      return &counters.shed;
+  }
+  return nullptr;
+}
+
+void countOwnAnswer(const own_answer_form& form, ProxyCounters& counters) {
+  std::uint64_t* const counter = counterOf(form.counter, counters);
+  if (counter != nullptr) {
+    *counter += 1;
+  }
+  counters.refused += form.promise == run_promise::not_run ? 1 : 0;
+  counters.failed += form.promise == run_promise::may_have_run ? 1 : 0;
 }
 
 }  // namespace
@@ -47,7 +61,7 @@
     own_answer_end_ = attempt_end::not_sent;
   } else if (kind == kOutcomeBarred) {
     own_answer_end_ = attempt_end::blocked;
-    barred_for_ = parseMilliseconds(head.find(kPeerBarredMs));
+    blocked_for_ = parseMilliseconds(head.find(kPeerBarredMs));
   } else if (kind == kOutcomeNotRun) {
     own_answer_end_ = attempt_end::not_run;
   } else {
@@ -174,12 +188,16 @@
   afterFailure(attempt_failure::connection_lost, held_back);
 }
 
-Duration ForwardedRequest::retryAfter() {
-  const Duration base = route_ == nullptr
-                            ? kRetryAfterWithoutConfiguration
-                            : std::max(route_->goal / kRetryAfterDivisor, kLeastRetryAfter);
-  const double time = static_cast<double>(base.count()) * (1 + context_.random.uniform());
-  return Duration(static_cast<std::int64_t>(time));
+std::optional<Duration> ForwardedRequest::retryAfter(const own_answer& answer) {
+  const Duration goal = route_ == nullptr ? Duration(0) : route_->goal;
+  const retry_after_verdict verdict = retry_after_of(answer, goal);
+  if (const auto* stated = std::get_if<stated_retry_after>(&verdict)) {
+    return stated->time;
+  }
+  if (const auto* drawn = std::get_if<spread_from>(&verdict)) {
+    return spread_retry_after(drawn->least, {context_.random.uniform()});
+  }
+  return std::nullopt;
 }
 
 void ForwardedRequest::logOwnAnswer(int status, const std::string& reason,
@@ -203,12 +221,8 @@
             {"peer", last_peer}});
 }
 
-void ForwardedRequest::answerOwn(int status, const std::string& reason, bool retry_after) {
-  answerOwn(status, reason, retry_after ? std::optional<Duration>(retryAfter()) : std::nullopt);
-}
-
-void ForwardedRequest::answerOwn(int status, const std::string& reason,
-                                 std::optional<Duration> retry_after) {
+void ForwardedRequest::answerOwn(const own_answer& answer) {
+  const std::optional<Duration> retry_after = retryAfter(answer);
   over_ = true;
   deadline_timer_.cancel();
   if (upstream_ != nullptr) {
@@ -216,33 +230,39 @@
   }
   const std::string last = instance_ == nullptr ? std::string() : instance_->record.daemon_address;
   endAttempt();
-  logOwnAnswer(status, reason, last);
-  if (status >= kServerError) {
-    context_.last_failed_forward = EventLoop::now();
-  }
-  if (counted_by_quota_ && status == kUnavailable) {
-    context_.quotas.on_not_run(tenant_->name, EventLoop::now());
+  const own_answer_form& form = form_of(answer.kind);
+  logOwnAnswer(form.status, reason_of(answer), last);
+  noteOwnAnswer(form);
+  respondOwn(answer, retry_after);
+}
+
+void ForwardedRequest::noteOwnAnswer(const own_answer_form& form) {
+  const TimePoint now = EventLoop::now();
+  countOwnAnswer(form, context_.counters);
+  if (form.promise != run_promise::rejected) {
+    context_.last_failed_forward = now;
   }
-  if (status == kUnavailable) {
-    context_.counters.refused += 1;
-  } else if (status >= kBadGateway) {
-    context_.counters.failed += 1;
+  if (counted_by_quota_ && form.promise == run_promise::not_run) {
+    context_.quotas.on_not_run(tenant_->name, now);
   }
+}
+
+void ForwardedRequest::respondOwn(const own_answer& answer, std::optional<Duration> retry_after) {
   HttpHead head;
-  head.status = status;
+  head.status = form_of(answer.kind).status;
   const std::string& id_header = context_.api.headers().request_id;
   const std::string* id = exchange_->request().find(id_header);
   if (id != nullptr) {
     head.fields.push_back({id_header, *id});
   }
   if (retry_after) {
-    head.fields.push_back({"Retry-After", formatSeconds(*retry_after)});
+    head.fields.push_back({"Retry-After", format_retry_after(*retry_after)});
   }
-  if (status == kUnauthorized) {
+  if (head.status == kUnauthorized) {
     head.fields.push_back({"WWW-Authenticate", "Bearer"});
   }
   head.fields.push_back({"Content-Type", "text/plain"});
-  exchange_->respond(std::move(head), reason + "\n");
+  exchange_->respond(std::move(head), reason_of(answer) + "\n");
 }
 
 }  // namespace ramppond
--- a/daemon/proxy/forwarded_attempt.cc
+++ b/daemon/proxy/forwarded_attempt.cc
@@ -7,7 +7,6 @@
 #include "core/retries/server_wait.h"
 #include "daemon/proxy/forwarded_request.h"
 #include "daemon/proxy/peer_headers.h"
-#include "net/stream/http_status.h"
 
 namespace ramppond {
 namespace {
@@ -37,11 +36,7 @@
   }
   if (instance_ == nullptr || !may_attempt(tried_.size(), timeLeft())) {
     instance_ = nullptr;
-    if (run_possible_) {
-      answerOwn(kBadGateway, "no server left", false);
-    } else {
-      answerOwn(kUnavailable, "no server", true);
-    }
+    answerOwn(answer_without_server(run_possible_));
     return;
   }
   makeDigest();
@@ -205,13 +200,7 @@
     repeat(reason);
     return;
   }
-  if (run_possible_) {
-    answerOwn(kBadGateway, reason, false);
-  } else if (barred_for_) {
-    answerOwn(kUnavailable, reason, barred_for_);
-  } else {
-    answerOwn(kUnavailable, reason, true);
-  }
+  answerOwn(answer_after_attempts({run_possible_, blocked_for_, reason}));
 }
 
 }  // namespace ramppond
--- a/daemon/proxy/forwarded_request.cc
+++ b/daemon/proxy/forwarded_request.cc
@@ -4,7 +4,6 @@
 
 #include "core/tenants/identity.h"
 #include "daemon/proxy/peer_headers.h"
-#include "net/stream/http_status.h"
 
 namespace ramppond {
 namespace {
@@ -66,8 +65,7 @@
   for (const service_overload& below : context_.overload.of(route_->name, received_)) {
     const std::uint32_t less_urgent = context_.ranksBelow(rank_);
     if (context_.random.uniform() < shed_share(below.level, less_urgent)) {
-      context_.counters.shed += 1;
-      answerOwn(kUnavailable, "overload of " + below.service, true);
+      answerOwn(answer_overload_below(below.service));
       return true;
     }
   }
@@ -78,19 +76,18 @@
 bool ForwardedRequest::admitHead() {
   traffic_ = context_.traffic;
   if (traffic_ == nullptr) {
-    answerOwn(kUnavailable, "no configuration", true);
+    answerOwn({own_answer_kind::no_configuration});
     return false;
   }
   const HttpHead& head = exchange_->request();
   route_ = traffic_->routes.match(head.get("Host"), head.target);
   if (route_ == nullptr) {
-    context_.counters.no_route += 1;
-    answerOwn(kNotFound, "no route", false);
+    answerOwn({own_answer_kind::no_route});
     return false;
   }
   if (head.content_length.value_or(0) > traffic_->configuration.limits.max_body_bytes) {
     exchange_->closeAfterwards();
-    answerOwn(kContentTooLarge, "body too large", false);
+    answerOwn({own_answer_kind::body_too_large});
     return false;
   }
   return true;
@@ -109,13 +106,11 @@
   const authority held = context_.lease.at(EventLoop::now());
   const identity found = identify(*route_, traffic_->keys, credential, held);
   if (std::holds_alternative<key_refused>(found)) {
-    context_.counters.no_tenant += 1;
-    answerOwn(kUnauthorized, "no tenant holds this key", false);
+    answerOwn({own_answer_kind::unknown_key});
     return false;
   }
   if (std::holds_alternative<key_unjudged>(found)) {
-    context_.counters.no_authority += 1;
-    answerOwn(kUnavailable, "keys cannot be judged now", true);
+    answerOwn({own_answer_kind::keys_unjudged});
     return false;
   }
   tenant_ = std::get<identified>(found).tenant;
@@ -136,9 +131,8 @@
     context_.on_tenant_surge();
   }
   if (!verdict.admitted) {
-    context_.counters.beyond_limit += 1;
     context_.counters.limited_alone += verdict.alone ? 1 : 0;
-    answerOwn(kTooManyRequests, "beyond the tenant's limit", verdict.retry_after);
+    answerOwn(answer_beyond_tenant_limit(verdict.retry_after));
   }
   return verdict.admitted;
 }
@@ -150,7 +144,7 @@
   body_bytes_ += data.size();
   if (body_bytes_ > traffic_->configuration.limits.max_body_bytes) {
     exchange_->closeAfterwards();
-    answerOwn(kContentTooLarge, "body too large", false);
+    answerOwn({own_answer_kind::body_too_large});
     return;
   }
   if (upstream_ != nullptr) {
@@ -216,8 +210,7 @@
     exchange_->breakOff();
     return;
   }
-  answerOwn(under_way || run_possible_ ? kGatewayTimeout : kUnavailable, "deadline",
-            !under_way && !run_possible_);
+  answerOwn(answer_at_deadline(under_way || run_possible_));
 }
 
 }  // namespace ramppond
--- a/daemon/proxy/forwarded_request.h
+++ b/daemon/proxy/forwarded_request.h
@@ -6,6 +6,7 @@
 #include <set>
 #include <string>
 
+#include "core/answers/own_answer.h"
 #include "core/retries/retry_rule.h"
 #include "daemon/proxy/proxy_context.h"
 #include "net/stream/http_client.h"
@@ -70,11 +71,14 @@
   void readOutcome(const HttpHead& head);
   void releaseAnswer();
   void logOwnAnswer(int status, const std::string& reason, const std::string& last_peer);
-  void answerOwn(int status, const std::string& reason, bool retry_after);
-  void answerOwn(int status, const std::string& reason, std::optional<Duration> retry_after);
+  /// Ends the request by an answer of this daemon; an attempt under way is given up.
+  void answerOwn(const own_answer& answer);
+  void noteOwnAnswer(const own_answer_form& form);
+  void respondOwn(const own_answer& answer, std::optional<Duration> retry_after);
   void finish();
   [[nodiscard]] Duration timeLeft() const { return deadline_ - EventLoop::now(); }
-  [[nodiscard]] Duration retryAfter();
+  /// Draws the time where the answer asks for that.
+  [[nodiscard]] std::optional<Duration> retryAfter(const own_answer& answer);
 
   ProxyContext& context_;
   std::shared_ptr<ServerExchange> exchange_;
@@ -111,7 +115,7 @@
   bool run_possible_ = false;    ///< Some attempt may have run.
   std::uint32_t arrivals_ = 0;   ///< Attempts that a server received.
   std::uint32_t lost_runs_ = 0;  ///< Servers that were lost while it ran there.
-  std::optional<Duration> barred_for_;
+  std::optional<Duration> blocked_for_;
 };
 
 }  // namespace ramppond
--- /dev/null
+++ b/tests/core/answers/own_answer_test.cc
@@ -0,0 +1,173 @@
+#include "core/answers/own_answer.h"
+
+#include <gtest/gtest.h>
+
+#include <ostream>
+#include <string>
+
+namespace ramppond {
+namespace {
+
+using kind = own_answer_kind;
+using source = retry_after_source;
+using counter = own_answer_counter;
+
+constexpr auto goal = Duration(milliseconds(1200));
+constexpr auto third_of_goal = Duration(milliseconds(400));
+constexpr auto stated = Duration(milliseconds(777));
+
+/// Time in Retry-After, stated or the least of what is drawn.
+struct expected_time {
+  bool sent = false;
+  bool drawn = false;
+  Duration time{0};
+};
+constexpr auto no_time = expected_time{};
+constexpr auto drawn_by_goal = expected_time{true, true, third_of_goal};
+constexpr auto drawn_without_goal = expected_time{true, true, milliseconds(400)};
+constexpr auto as_stated = expected_time{true, false, stated};
+
+struct answer_case {
+  const char* name;
+  own_answer answer;
+  kind expected_kind;
+  int status;
+  run_promise promise;
+  source retry_after;
+  counter counted;
+  std::string reason;
+  expected_time time;
+};
+
+// Keeps the name of a test the same in every run.
+void PrintTo(const answer_case& tested, std::ostream* out) {
+  *out << tested.name;
+}
+
+class own_answer_table : public testing::TestWithParam<answer_case> {};
+
+TEST_P(own_answer_table, has_its_form) {
+  const auto& tested = GetParam();
+  EXPECT_EQ(tested.answer.kind, tested.expected_kind);
+  const auto& form = form_of(tested.answer.kind);
+  EXPECT_EQ(form.kind, tested.expected_kind);
+  EXPECT_EQ(form.status, tested.status);
+  EXPECT_EQ(form.promise, tested.promise);
+  EXPECT_EQ(form.retry_after, tested.retry_after);
+  EXPECT_EQ(form.counter, tested.counted);
+  EXPECT_EQ(reason_of(tested.answer), tested.reason);
+}
+
+TEST_P(own_answer_table, tells_when_to_come_back) {
+  const auto& tested = GetParam();
+  const auto verdict = retry_after_of(tested.answer, goal);
+  EXPECT_EQ(!std::holds_alternative<no_retry_after>(verdict), tested.time.sent);
+  if (const auto* drawn = std::get_if<spread_from>(&verdict)) {
+    EXPECT_TRUE(tested.time.drawn);
+    EXPECT_EQ(drawn->least, tested.time.time);
+  }
+  if (const auto* told = std::get_if<stated_retry_after>(&verdict)) {
+    EXPECT_FALSE(tested.time.drawn);
+    EXPECT_EQ(told->time, tested.time.time);
+  }
+}
+
+INSTANTIATE_TEST_SUITE_P(
+    table, own_answer_table,
+    testing::Values(
+        answer_case{"no_configuration",
+                    {kind::no_configuration},
+                    kind::no_configuration,
+                    503,
+                    run_promise::not_run,
+                    source::without_configuration,
+                    counter::none,
+                    "no configuration",
+                    drawn_without_goal},
+        answer_case{"no_route",
+                    {kind::no_route},
+                    kind::no_route,
+                    404,
+                    run_promise::rejected,
+                    source::none,
+                    counter::no_route,
+                    "no route",
+                    no_time},
+        answer_case{"body_too_large",
+                    {kind::body_too_large},
+                    kind::body_too_large,
+                    413,
+                    run_promise::rejected,
+                    source::none,
+                    counter::none,
+                    "body too large",
+                    no_time},
+        answer_case{"unknown_key",
+                    {kind::unknown_key},
+                    kind::unknown_key,
+                    401,
+                    run_promise::rejected,
+                    source::none,
+                    counter::no_tenant,
+                    "no tenant holds this key",
+                    no_time},
+        answer_case{"keys_unjudged",
+                    {kind::keys_unjudged},
+                    kind::keys_unjudged,
+                    503,
+                    run_promise::not_run,
+                    source::goal,
+                    counter::no_authority,
+                    "keys cannot be judged now",
+                    drawn_by_goal},
+        answer_case{"beyond_tenant_limit", answer_beyond_tenant_limit(stated),
+                    kind::beyond_tenant_limit, 429, run_promise::rejected, source::quota,
+                    counter::beyond_limit, "beyond the tenant's limit", as_stated},
+        answer_case{"overload_below", answer_overload_below("records"), kind::overload_below, 503,
+                    run_promise::not_run, source::goal, counter::shed, "overload of records",
+                    drawn_by_goal},
+        answer_case{"deadline_not_run", answer_at_deadline(false), kind::deadline_not_run, 503,
+                    run_promise::not_run, source::goal, counter::none, "deadline", drawn_by_goal},
+        answer_case{"deadline_may_have_run", answer_at_deadline(true), kind::deadline_may_have_run,
+                    504, run_promise::may_have_run, source::none, counter::none, "deadline",
+                    no_time},
+        answer_case{"no_server", answer_without_server(false), kind::no_server, 503,
+                    run_promise::not_run, source::goal, counter::none, "no server", drawn_by_goal},
+        answer_case{"no_server_left", answer_without_server(true), kind::no_server_left, 502,
+                    run_promise::may_have_run, source::none, counter::none, "no server left",
+                    no_time},
+        answer_case{"attempts_not_run", answer_after_attempts({false, std::nullopt, "busy; full"}),
+                    kind::attempts_not_run, 503, run_promise::not_run, source::goal, counter::none,
+                    "busy; full", drawn_by_goal},
+        answer_case{"attempts_blocked", answer_after_attempts({false, stated, "barred; it"}),
+                    kind::attempts_blocked, 503, run_promise::not_run, source::block, counter::none,
+                    "barred; it", as_stated},
+        answer_case{"attempts_may_have_run",
+                    answer_after_attempts({true, std::nullopt, "connection lost"}),
+                    kind::attempts_may_have_run, 502, run_promise::may_have_run, source::none,
+                    counter::none, "connection lost", no_time},
+        answer_case{"blocked_after_one_that_may_have_run",
+                    answer_after_attempts({true, stated, "barred; it"}),
+                    kind::attempts_may_have_run, 502, run_promise::may_have_run, source::none,
+                    counter::none, "barred; it", no_time}),
+    [](const auto& info) { return std::string(info.param.name); });
+
+TEST(own_answer, the_table_has_a_row_for_each_kind_in_its_order) {
+  for (auto i = std::size_t(0); i < own_answer_kinds; ++i) {
+    EXPECT_EQ(form_of(static_cast<kind>(i)).kind, static_cast<kind>(i));
+  }
+}
+
+TEST(own_answer, only_what_may_be_sent_again_has_a_time_and_what_may_have_run_has_none) {
+  for (auto i = std::size_t(0); i < own_answer_kinds; ++i) {
+    const auto& form = form_of(static_cast<kind>(i));
+    const auto tells_time = form.retry_after != source::none;
+    EXPECT_EQ(form.status == 503, form.promise == run_promise::not_run) << i;
+    EXPECT_EQ(form.status == 502 || form.status == 504, form.promise == run_promise::may_have_run)
+        << i;
+    EXPECT_EQ(tells_time, form.status == 503 || form.status == 429) << i;
+  }
+}
+
+}  // namespace
+}  // namespace ramppond
