--- a/daemon/proxy/forwarded_answer.cc
+++ b/daemon/proxy/forwarded_answer.cc
@@ -224,6 +224,7 @@
 void ForwardedRequest::answerOwn(const own_answer& answer) {
   const std::optional<Duration> retry_after = retryAfter(answer);
   over_ = true;
+  wait_timer_.cancel();
   deadline_timer_.cancel();
   if (upstream_ != nullptr) {
     upstream_->cancel();
--- a/daemon/proxy/forwarded_attempt.cc
+++ b/daemon/proxy/forwarded_attempt.cc
@@ -77,6 +77,7 @@
   confirmed_ = false;
   if (!confirms_) {
     upstream_ = peer.start(head, framingOf(head), body_, body_ended_, shared_from_this());
+    releaseStreamedBody();
     return;
   }
   head.fields.push_back(
@@ -84,10 +85,19 @@
   head.content_length.reset();
   head.chunked = true;
   upstream_ = peer.start(head, BodyFraming::kChunked, body_, false, shared_from_this());
+  releaseStreamedBody();
   const Duration patience = patience_of(route_->goal, is_call_);
   confirm_timer_.after(patience + kAdmissionMargin, [this] { onNotAdmitted(); });
 }
 
+// No further attempt sends what is streamed; what has come of it so far has been handed over.
+void ForwardedRequest::releaseStreamedBody() {
+  if (body_streamed_) {
+    body_.clear();
+    body_.shrink_to_fit();
+  }
+}
+
 void ForwardedRequest::onInterim(int /*status*/) {
   if (over_ || !heldBack() || upstream_ == nullptr) {
     return;
--- a/daemon/proxy/forwarded_request.cc
+++ b/daemon/proxy/forwarded_request.cc
@@ -155,11 +155,9 @@
     return;
   }
   body_.append(data);
-  if (body_.size() >= kHeldBodyBytes) {
+  if (body_.size() >= kHeldBodyBytes && !body_streamed_) {
     body_streamed_ = true;
     attempt();
-    body_.clear();
-    body_.shrink_to_fit();
   }
 }
 
@@ -170,7 +168,7 @@
   body_ended_ = true;
   if (upstream_ != nullptr) {
     upstream_->finishBody();
-  } else {
+  } else if (!body_streamed_) {
     attempt();
   }
 }
--- a/daemon/proxy/forwarded_request.h
+++ b/daemon/proxy/forwarded_request.h
@@ -53,6 +53,7 @@
   void attempt();
   void makeDigest();
   void send(HttpHead head);
+  void releaseStreamedBody();
   void onNotAdmitted();
   /// Whether the attempt under way cannot have reached a server: its end is still held back.
   [[nodiscard]] bool heldBack() const { return confirms_ && !confirmed_; }
