--- a/daemon/proxy/forwarded_answer.cc
+++ b/daemon/proxy/forwarded_answer.cc
@@ -1,6 +1,4 @@
 // What comes back to a forwarded request: the answer of its server, or one of the daemons.
-#include <algorithm>
-
 #include "core/answers/retry_after.h"
 #include "daemon/proxy/forwarded_request.h"
 #include "daemon/proxy/peer_headers.h"
@@ -9,7 +7,8 @@
 namespace ramppond {
 namespace {
 
-// Answers up to this size leave when they are whole, so that one that breaks off can be repeated.
+// Answers up to this size leave when they are whole, so that one that breaks off can be retried.
+// With less, common pages could not be; with more, many answers at once fill the memory.
 constexpr std::size_t kHeldAnswerBytes = 49152;
 
 std::uint64_t* counterOf(own_answer_counter counter, ProxyCounters& counters) {
@@ -39,157 +38,134 @@
   counters.failed += form.promise == run_promise::may_have_run ? 1 : 0;
 }
 
-}  // namespace
-
-// Whether the peer daemon itself made this answer, and what it says of the request.
-void ForwardedRequest::readOutcome(const HttpHead& head) {
-  const std::string* outcome = head.find(kPeerOutcome);
-  own_answer_ = outcome != nullptr;
-  if (!own_answer_) {
-    return;
-  }
-  const std::size_t end = std::min(outcome->find(';'), outcome->size());
-  const std::string_view kind = std::string_view(*outcome).substr(0, end);
-  own_answer_reason_ = *outcome;
-  if (kind == kOutcomeBusy) {
-    own_answer_end_ = attempt_end::not_sent;
-    context_.directory.onRefused(*instance_, EventLoop::now());
-  } else if (kind == kOutcomeFenced) {
-    own_answer_end_ = attempt_end::not_sent;
-    context_.directory.onFenced(*instance_, EventLoop::now());
-  } else if (kind == kOutcomeElsewhere) {
-    own_answer_end_ = attempt_end::not_sent;
-  } else if (kind == kOutcomeBarred) {
-    own_answer_end_ = attempt_end::blocked;
-    blocked_for_ = parseMilliseconds(head.find(kPeerBarredMs));
-  } else if (kind == kOutcomeNotRun) {
-    own_answer_end_ = attempt_end::not_run;
-  } else {
-    own_answer_end_ = attempt_end::unknown;
-    lost_runs_ += 1;
+attempt_failure failureOf(ClientFailure failure) {
+  switch (failure) {
+    case ClientFailure::kNoSocket:
+      return attempt_failure::no_socket;
+    case ClientFailure::kNotConnected:
+    case ClientFailure::kRefused:
+      return attempt_failure::not_connected;
+    default:
+      return attempt_failure::connection_lost;
   }
 }
 
+}  // namespace
+
 void ForwardedRequest::noteLoad(const HttpHead& head) {
   const TimePoint now = EventLoop::now();
   const auto load = parseLoad(head.find(kPeerLoad));
   if (!load) {
     return;
   }
-  context_.directory.onLoad(*instance_, route_->name, *load, now);
+  context_.directory.onLoad(attempt_->instance, terms_.route->name, *load, now);
   auto levels = parseOverload(head.find(kPeerOverload));
-  levels = strictest(std::move(levels), {{service_, load->shed}});
-  context_.overload.on_answer(route_->name, levels, now);
+  levels = strictest(std::move(levels), {{terms_.service, load->shed}});
+  context_.overload.on_answer(terms_.route->name, levels, now);
+}
+
+void ForwardedRequest::notePeerAnswer(const peer_answer& answer) {
+  history_.note(answer);
+  if (answer.outcome == peer_outcome::busy) {
+    context_.directory.onRefused(attempt_->instance, EventLoop::now());
+  } else if (answer.outcome == peer_outcome::fenced) {
+    context_.directory.onFenced(attempt_->instance, EventLoop::now());
+  }
 }
 
 void ForwardedRequest::onResponseHead(HttpHead head) {
-  if (over_ || instance_ == nullptr) {
+  if (!attempt_) {
     return;
   }
-  context_.directory.onReached(*instance_, EventLoop::now());
+  context_.directory.onReached(attempt_->instance, EventLoop::now());
   noteLoad(head);
-  readOutcome(head);
-  if (heldBack() && upstream_ != nullptr) {
-    upstream_->finishBody();  // Refused: the connection can be used again.
+  auto own = read_peer_answer(head);
+  if (own) {
+    notePeerAnswer(*own);
+  }
+  if (attempt_->is_held_back()) {
+    attempt_->upstream->finishBody();  // Refused: the connection can be used again.
   }
-  if (own_answer_) {
+  if (own) {
+    attempt_->answer = std::move(*own);
     return;
   }
   head.removeHopByHop();
   removePeerHeaders(head);
-  answer_head_ = std::move(head);
-  answer_held_ = true;
+  attempt_->answer = held_answer{std::move(head), {}};
 }
 
 void ForwardedRequest::onResponseBody(std::string_view data) {
-  if (over_ || own_answer_) {
+  if (!attempt_ || attempt_->has<peer_answer>()) {
     return;
   }
-  if (answer_held_) {
-    answer_body_.append(data);
-    if (answer_body_.size() > kHeldAnswerBytes) {
+  if (auto* held = std::get_if<held_answer>(&attempt_->answer)) {
+    held->body.append(data);
+    if (held->body.size() > kHeldAnswerBytes) {
       releaseAnswer();
     }
     return;
   }
   exchange_->sendBody(data);
-  if (exchange_->congested() && upstream_ != nullptr) {
-    upstream_->pauseResponse();
+  if (exchange_->congested()) {
+    attempt_->upstream->pauseResponse();
   }
 }
 
 void ForwardedRequest::releaseAnswer() {
-  answer_held_ = false;
-  exchange_->sendHead(answer_head_, framingOf(answer_head_));
-  exchange_->sendBody(answer_body_);
-  answer_body_.clear();
-  answer_body_.shrink_to_fit();
+  const held_answer held = std::move(std::get<held_answer>(attempt_->answer));
+  attempt_->answer = passed_answer{held.head.status};
+  state_ = State::kAnswering;
+  exchange_->sendHead(held.head, framingOf(held.head));
+  exchange_->sendBody(held.body);
 }
 
 void ForwardedRequest::onResponseDrained() {
-  if (upstream_ != nullptr) {
-    upstream_->resumeResponse();
+  if (attempt_) {
+    attempt_->upstream->resumeResponse();
   }
 }
 
 void ForwardedRequest::onResponseEnd() {
-  if (over_) {
+  if (!attempt_) {
     return;
   }
   const auto self = shared_from_this();
-  if (own_answer_) {
-    afterAttempt(own_answer_end_, own_answer_reason_);
+  if (const auto* own = std::get_if<peer_answer>(&attempt_->answer)) {
+    const std::string reason = own->reason;
+    afterAttempt(end_of(own->outcome), reason);
     return;
   }
   context_.counters.answered += 1;
-  if (answer_head_.status >= kServerError) {
-    context_.last_failed_forward = EventLoop::now();
-  }
-  if (answer_held_) {
+  if (attempt_->has<held_answer>()) {
     releaseAnswer();
   }
-  finish();
-}
-
-void ForwardedRequest::finish() {
-  over_ = true;
-  deadline_timer_.cancel();
-  endAttempt();
+  const auto* passed = std::get_if<passed_answer>(&attempt_->answer);
+  if (passed != nullptr && passed->status >= kServerError) {
+    context_.last_failed_forward = EventLoop::now();
+  }
+  done();
   exchange_->finish();
 }
 
 void ForwardedRequest::onRequestFailed(ClientFailure failure) {
-  if (over_) {
+  if (!attempt_) {
     return;
   }
   const auto self = shared_from_this();
-  if (exchange_->headSent()) {
-    context_.counters.broken_off += 1;
-    over_ = true;
-    deadline_timer_.cancel();
-    endAttempt();
-    exchange_->breakOff();
+  if (state_ == State::kAnswering) {
+    breakOff();
     return;
   }
-  if (failure == ClientFailure::kNoSocket) {
-    afterFailure(attempt_failure::no_socket, heldBack());
-    return;
+  const attempt_failure how = failureOf(failure);
+  if (how == attempt_failure::not_connected || failure == ClientFailure::kNoAnswer) {
+    context_.directory.onUnreachable(attempt_->instance, EventLoop::now());
   }
-  const bool not_connected =
-      failure == ClientFailure::kNotConnected || failure == ClientFailure::kRefused;
-  const bool held_back = heldBack();
-  if (not_connected || failure == ClientFailure::kNoAnswer) {
-    context_.directory.onUnreachable(*instance_, EventLoop::now());
-  }
-  if (not_connected) {
-    afterFailure(attempt_failure::not_connected, held_back);
-    return;
-  }
-  afterFailure(attempt_failure::connection_lost, held_back);
+  afterFailure(how);
 }
 
 std::optional<Duration> ForwardedRequest::retryAfter(const own_answer& answer) {
-  const Duration goal = route_ == nullptr ? Duration(0) : route_->goal;
+  const Duration goal = terms_.route == nullptr ? Duration(0) : terms_.route->goal;
   const retry_after_verdict verdict = retry_after_of(answer, goal);
   if (const auto* stated = std::get_if<stated_retry_after>(&verdict)) {
     return stated->time;
@@ -200,8 +176,7 @@
   return std::nullopt;
 }
 
-void ForwardedRequest::logOwnAnswer(int status, const std::string& reason,
-                                    const std::string& last_peer) {
+void ForwardedRequest::logOwnAnswer(const own_answer& answer, const std::string& last_peer) {
   const TimePoint now = EventLoop::now();
   if (!context_.own_answers.allow(now.count())) {
     return;
@@ -209,31 +184,28 @@
   logEvent(now.count(), context_.own_answers.event(),
            {{"request", exchange_->request().get(context_.api.headers().request_id)},
             {"digest", digest_},
-            {"status", std::to_string(status)},
-            {"reason", reason},
-            {"route", route_ == nullptr ? "" : route_->name},
-            {"service", service_},
-            {"tenant", tenant_ == nullptr ? "" : tenant_->name},
-            {"held_us", std::to_string((now - received_).count())},
-            {"left_us", std::to_string((deadline_ - now).count())},
-            {"attempts", std::to_string(tried_.size())},
-            {"arrivals", std::to_string(arrivals_)},
+            {"status", std::to_string(form_of(answer.kind).status)},
+            {"reason", reason_of(answer)},
+            {"route", terms_.route == nullptr ? "" : terms_.route->name},
+            {"service", terms_.service},
+            {"tenant", terms_.tenant == nullptr ? "" : terms_.tenant->name},
+            {"held_us", std::to_string((now - terms_.received).count())},
+            {"left_us", std::to_string((terms_.deadline - now).count())},
+            {"attempts", std::to_string(history_.tried.size())},
+            {"arrivals", std::to_string(history_.arrivals)},
             {"peer", last_peer}});
 }
 
 void ForwardedRequest::answerOwn(const own_answer& answer) {
   const std::optional<Duration> retry_after = retryAfter(answer);
-  over_ = true;
-  wait_timer_.cancel();
-  deadline_timer_.cancel();
-  if (upstream_ != nullptr) {
-    upstream_->cancel();
-  }
-  const std::string last = instance_ == nullptr ? std::string() : instance_->record.daemon_address;
-  endAttempt();
-  const own_answer_form& form = form_of(answer.kind);
-  logOwnAnswer(form.status, reason_of(answer), last);
-  noteOwnAnswer(form);
+  std::string last_peer;
+  if (attempt_) {
+    attempt_->upstream->cancel();
+    last_peer = attempt_->instance.record.daemon_address;
+  }
+  done();
+  logOwnAnswer(answer, last_peer);
+  noteOwnAnswer(form_of(answer.kind));
   respondOwn(answer, retry_after);
 }
 
@@ -243,12 +215,15 @@
   if (form.promise != run_promise::rejected) {
     context_.last_failed_forward = now;
   }
-  if (counted_by_quota_ && form.promise == run_promise::not_run) {
-    context_.quotas.on_not_run(tenant_->name, now);
+  if (terms_.counted_by_quota && form.promise == run_promise::not_run) {
+    context_.quotas.on_not_run(terms_.tenant->name, now);
   }
 }
 
 void ForwardedRequest::respondOwn(const own_answer& answer, std::optional<Duration> retry_after) {
+  if (answer.kind == own_answer_kind::body_too_large) {
+    exchange_->closeAfterwards();  // The rest of the body is not read.
+  }
   HttpHead head;
   head.status = form_of(answer.kind).status;
   const std::string& id_header = context_.api.headers().request_id;
--- a/daemon/proxy/forwarded_request.cc
+++ b/daemon/proxy/forwarded_request.cc
@@ -2,16 +2,9 @@
 
 #include <algorithm>
 
-#include "core/tenants/identity.h"
 #include "daemon/proxy/peer_headers.h"
 
 namespace ramppond {
-namespace {
-
-// Bodies up to this size are held for a second attempt; longer ones are streamed once.
-constexpr std::size_t kHeldBodyBytes = 65536;
-
-}  // namespace
 
 void ForwardedRequest::serve(ProxyContext& context,
                              const std::shared_ptr<ServerExchange>& exchange) {
@@ -24,151 +17,62 @@
     : context_(context),
       exchange_(std::move(exchange)),
       deadline_timer_(context.loop),
-      wait_timer_(context.loop),
-      confirm_timer_(context.loop) {}
+      wait_timer_(context.loop) {}
 
 void ForwardedRequest::start() {
   context_.counters.requests += 1;
-  received_ = EventLoop::now();
-  if (!admitHead() || !admitTenant() || !admitByQuota()) {
-    return;
-  }
-  const auto wanted =
-      parseMilliseconds(exchange_->request().find(context_.api.headers().deadline_ms));
-  deadline_ = received_ + std::min(wanted.value_or(route_->timeout), route_->timeout);
-  service_ = chooseService(*route_, context_.random.uniform());
-  if (shed(wanted.value_or(route_->timeout))) {
+  terms_.received = EventLoop::now();
+  HttpHead& head = exchange_->mutableRequest();
+  if (const auto refusal = terms_.settle(context_, head)) {
+    answerOwn(*refusal);
     return;
   }
-  HttpHead& head = exchange_->mutableRequest();
   head.removeHopByHop();
   removePeerHeaders(head);
   head.set(context_.api.headers().caller_service, context_.settings.service);
-  context_.budget(service_).on_first_send(received_);
-  if (attributed_.of_repeat) {
-    context_.budget(service_).charge(received_);
+  retry_budget& budget = context_.budget(terms_.service);
+  budget.on_first_send(terms_.received);
+  if (terms_.attributed.of_repeat) {
+    budget.charge(terms_.received);
   }
   deadline_timer_.after(std::max(timeLeft(), Duration(0)), [this] { onDeadline(); });
   if (!exchange_->hasBody()) {
-    body_ended_ = true;
+    body_.end();
     attempt();
   }
 }
 
-// Refusing a call would waste what its tree has cost: only requests of clients are refused here.
-bool ForwardedRequest::shed(Duration wanted) {
-  attributed_ = context_.calls.on_request(route_->name, received_ + wanted);
-  is_call_ = attributed_.origin != request_origin::client && tenant_ == nullptr;
-  if (is_call_) {
-    return false;
-  }
-  for (const service_overload& below : context_.overload.of(route_->name, received_)) {
-    const std::uint32_t less_urgent = context_.ranksBelow(rank_);
-    if (context_.random.uniform() < shed_share(below.level, less_urgent)) {
-      answerOwn(answer_overload_below(below.service));
-      return true;
-    }
-  }
-  return false;
-}
-
-// Finds the route, or answers at once.
-bool ForwardedRequest::admitHead() {
-  traffic_ = context_.traffic;
-  if (traffic_ == nullptr) {
-    answerOwn({own_answer_kind::no_configuration});
-    return false;
-  }
-  const HttpHead& head = exchange_->request();
-  route_ = traffic_->routes.match(head.get("Host"), head.target);
-  if (route_ == nullptr) {
-    answerOwn({own_answer_kind::no_route});
-    return false;
-  }
-  if (head.content_length.value_or(0) > traffic_->configuration.limits.max_body_bytes) {
-    exchange_->closeAfterwards();
-    answerOwn({own_answer_kind::body_too_large});
-    return false;
-  }
-  return true;
-}
-
-bool ForwardedRequest::admitTenant() {
-  rank_ = traffic_->ranks.of(nullptr, route_->priority);
-  if (traffic_->configuration.tenants.empty()) {
-    return true;
-  }
-  const ExternalHeaders& names = context_.api.headers();
-  HttpHead& head = exchange_->mutableRequest();
-  const Credential credential = context_.api.parseCredential(head.all(names.credential));
-  head.remove(names.credential);
-  head.remove(names.tenant);
-  const authority held = context_.lease.at(EventLoop::now());
-  const identity found = identify(*route_, traffic_->keys, credential, held);
-  if (std::holds_alternative<key_refused>(found)) {
-    answerOwn({own_answer_kind::unknown_key});
-    return false;
-  }
-  if (std::holds_alternative<key_unjudged>(found)) {
-    answerOwn({own_answer_kind::keys_unjudged});
-    return false;
-  }
-  tenant_ = std::get<identified>(found).tenant;
-  if (tenant_ != nullptr) {
-    head.set(names.tenant, tenant_->name);
-    rank_ = traffic_->ranks.of(tenant_, route_->priority);
-  }
-  return true;
-}
-
-bool ForwardedRequest::admitByQuota() {
-  if (tenant_ == nullptr) {
-    return true;
-  }
-  const auto verdict = context_.quotas.ask(tenant_->name, EventLoop::now());
-  counted_by_quota_ = verdict.admitted;
-  if (context_.quotas.surging() && context_.on_tenant_surge) {
-    context_.on_tenant_surge();
-  }
-  if (!verdict.admitted) {
-    context_.counters.limited_alone += verdict.alone ? 1 : 0;
-    answerOwn(answer_beyond_tenant_limit(verdict.retry_after));
-  }
-  return verdict.admitted;
-}
-
 void ForwardedRequest::onRequestBody(std::string_view data) {
-  if (over_) {
+  if (state_ == State::kDone) {
     return;
   }
-  body_bytes_ += data.size();
-  if (body_bytes_ > traffic_->configuration.limits.max_body_bytes) {
-    exchange_->closeAfterwards();
+  body_.count(data.size());
+  if (body_.size() > terms_.traffic->configuration.limits.max_body_bytes) {
     answerOwn({own_answer_kind::body_too_large});
     return;
   }
-  if (upstream_ != nullptr) {
-    upstream_->sendBody(data);
-    if (upstream_->congested()) {
+  if (attempt_) {
+    attempt_->upstream->sendBody(data);
+    if (attempt_->upstream->congested()) {
       exchange_->pauseRequestBody();
     }
     return;
   }
   body_.append(data);
-  if (body_.size() >= kHeldBodyBytes && !body_streamed_) {
-    body_streamed_ = true;
+  if (state_ == State::kReceiving && body_.exceeds_hold()) {
+    body_.stream();
     attempt();
   }
 }
 
 void ForwardedRequest::onRequestEnd() {
-  if (over_ || body_ended_) {
+  if (state_ == State::kDone || body_.ended()) {
     return;
   }
-  body_ended_ = true;
-  if (upstream_ != nullptr) {
-    upstream_->finishBody();
-  } else if (!body_streamed_) {
+  body_.end();
+  if (attempt_) {
+    attempt_->upstream->finishBody();
+  } else if (state_ == State::kReceiving) {
     attempt();
   }
 }
@@ -178,37 +82,44 @@
 }
 
 void ForwardedRequest::onClientGone() {
-  if (over_) {
+  if (state_ == State::kDone) {
     return;
   }
   context_.counters.clients_gone += 1;
-  over_ = true;
-  wait_timer_.cancel();
-  deadline_timer_.cancel();
-  if (upstream_ != nullptr) {
-    upstream_->cancel();
+  if (attempt_) {
+    attempt_->upstream->cancel();
   }
-  endAttempt();
+  done();
 }
 
 void ForwardedRequest::onDeadline() {
   const auto self = shared_from_this();
-  if (over_) {
+  if (state_ == State::kDone) {
     return;
   }
-  const bool under_way = upstream_ != nullptr && upstream_->sent() && !heldBack();
-  wait_timer_.cancel();
-  if (upstream_ != nullptr) {
-    upstream_->cancel();
+  const bool may_have_run = history_.may_have_run || (attempt_ && attempt_->may_have_arrived());
+  if (attempt_) {
+    attempt_->upstream->cancel();
   }
-  endAttempt();
-  if (exchange_->headSent()) {
-    context_.counters.broken_off += 1;
-    over_ = true;
-    exchange_->breakOff();
+  if (state_ == State::kAnswering) {
+    breakOff();
     return;
   }
-  answerOwn(answer_at_deadline(under_way || run_possible_));
+  endAttempt();
+  answerOwn(answer_at_deadline(may_have_run));
+}
+
+void ForwardedRequest::breakOff() {
+  context_.counters.broken_off += 1;
+  done();
+  exchange_->breakOff();
+}
+
+void ForwardedRequest::done() {
+  state_ = State::kDone;
+  wait_timer_.cancel();
+  deadline_timer_.cancel();
+  endAttempt();
 }
 
 }  // namespace ramppond
--- a/daemon/proxy/forwarded_request.h
+++ b/daemon/proxy/forwarded_request.h
@@ -1,13 +1,35 @@
-// A request of a client of this machine, or of its server: routed, sent to the daemon beside a
-// chosen server, repeated where that is allowed, answered.
+// A request of a client of this machine, or of its server, from its head to its answer.
+//
+// Settles what holds for the whole request (forwarded_terms), makes one attempt after the other at
+// daemons beside servers of its service (forwarded_attempt), and passes the server's answer on or
+// gives one of this daemon's own. The rules stand in core/ (retries/retry_rule,
+// answers/own_answer); this class carries them out. Owns the exchange with the client and the
+// request's timers; the directory, the budgets and the counters are those of ProxyContext. On the
+// thread of the event loop.
+//
+// States and what leads from one to the next:
+//
+//   kReceiving         The body arrives and is held. When it is whole or too long to be held, a
+//                      server is chosen: kAttempting, or kWaitingForServer if none is known.
+//   kWaitingForServer  A server is looked for at intervals: kAttempting when there is one.
+//   kAttempting        One attempt is under way. It ends without an answer of a server: kAttempting
+//                      again by a retry, or an own answer. The server's answer is held up to a
+//                      size, or until it is whole, and then begins to leave: kAnswering.
+//   kAnswering         The server's answer is passed on. If it breaks off, so does the client's.
+//   kDone              The answer has left, or the client has gone. Nothing is under way.
+//
+// Every state but kDone leads to kDone by an own answer, by the deadline, or when the client goes.
 #pragma once
 
 #include <memory>
-#include <set>
+#include <optional>
 #include <string>
 
 #include "core/answers/own_answer.h"
 #include "core/retries/retry_rule.h"
+#include "daemon/proxy/forwarded_attempt.h"
+#include "daemon/proxy/forwarded_body.h"
+#include "daemon/proxy/forwarded_terms.h"
 #include "daemon/proxy/proxy_context.h"
 #include "net/stream/http_client.h"
 #include "net/stream/http_server.h"
@@ -26,7 +48,7 @@
   ForwardedRequest& operator=(const ForwardedRequest&) = delete;
 
   /// The daemon beside `instance` answers nothing any more. A request that waits there and may be
-  /// repeated goes elsewhere; any other waits on, since only time can tell whether it runs.
+  /// retried goes elsewhere; any other waits on, since only time can tell whether it runs.
   void onPeerSilent(const KnownInstance& instance);
 
   void onRequestBody(std::string_view data) override;
@@ -42,81 +64,60 @@
   void onRequestDrained() override;
 
  private:
+  enum class State : std::uint8_t {
+    kReceiving,
+    kWaitingForServer,
+    kAttempting,
+    kAnswering,
+    kDone,
+  };
+
   void start();
-  bool admitHead();
-  /// Finds the tenant and takes the credential off the request, or answers at once.
-  bool admitTenant();
-  bool admitByQuota();
-  /// Whether a client's request is refused at once for overload at a service that it needs.
-  bool shed(Duration wanted);
-  void noteLoad(const HttpHead& head);
+  void onDeadline();
+  /// Ends what is under way; the answer is the caller's to give.
+  void done();
+
+  /// Chooses a server and begins an attempt there, or waits for one, or gives up.
   void attempt();
+  void begin(KnownInstance& instance, TimePoint now);
   void makeDigest();
-  void send(HttpHead head);
-  void releaseStreamedBody();
   void onNotAdmitted();
-  /// Whether the attempt under way cannot have reached a server: its end is still held back.
-  [[nodiscard]] bool heldBack() const { return confirms_ && !confirmed_; }
   void endAttempt();
-  void afterFailure(attempt_failure failure, bool held_back);
+  void afterFailure(attempt_failure failure);
   void afterAttempt(attempt_end end, const std::string& reason);
-  void noteAttempt(attempt_end end);
-  void repeat(const std::string& reason);
   /// Whether another attempt may follow on one that ended so; `arrivals` counts that one too.
   [[nodiscard]] retry_verdict judgeRetry(attempt_end end, std::uint32_t arrivals) const;
   /// Takes a retry from the service's budget. False if there is not enough left.
   bool payForRetry();
   /// Carries out a verdict: pays where it asks for that. Whether the retry is to be made.
   bool obtainRetry(const retry_verdict& verdict);
-  void onDeadline();
-  void readOutcome(const HttpHead& head);
+  void retry(const std::string& reason);
+
+  void noteLoad(const HttpHead& head);
+  void notePeerAnswer(const peer_answer& answer);
+  /// Passes on the head of the server's answer and what has come of its body.
   void releaseAnswer();
-  void logOwnAnswer(int status, const std::string& reason, const std::string& last_peer);
   /// Ends the request by an answer of this daemon; an attempt under way is given up.
   void answerOwn(const own_answer& answer);
+  void logOwnAnswer(const own_answer& answer, const std::string& last_peer);
   void noteOwnAnswer(const own_answer_form& form);
   void respondOwn(const own_answer& answer, std::optional<Duration> retry_after);
-  void finish();
-  [[nodiscard]] Duration timeLeft() const { return deadline_ - EventLoop::now(); }
   /// Draws the time where the answer asks for that.
   [[nodiscard]] std::optional<Duration> retryAfter(const own_answer& answer);
+  /// The answer's head has left and its rest does not come: the client must see that.
+  void breakOff();
+  [[nodiscard]] Duration timeLeft() const { return terms_.deadline - EventLoop::now(); }
 
   ProxyContext& context_;
   std::shared_ptr<ServerExchange> exchange_;
-  std::shared_ptr<const TrafficInForce> traffic_;
-  const TrafficRoute* route_ = nullptr;
-  const TenantDefinition* tenant_ = nullptr;  ///< Of `traffic_`; none for calls of servers.
-  std::uint32_t rank_ = 0;                    ///< See tenant_ranks.
-  bool counted_by_quota_ = false;
-  std::string service_;
+  State state_ = State::kReceiving;
+  forwarded_terms terms_;
+  forwarded_body body_;
   std::string digest_;  ///< See kPeerDigest; made with the first attempt.
-  std::shared_ptr<ClientExchange> upstream_;
-  KnownInstance* instance_ = nullptr;  ///< Of the attempt under way.
-  std::set<std::string> tried_;
+  forwarded_history history_;
+  std::optional<forwarded_attempt> attempt_;  ///< In kAttempting and kAnswering.
   LoopTimer deadline_timer_;
-  LoopTimer wait_timer_;     ///< Runs while no server is known.
-  LoopTimer confirm_timer_;  ///< Runs while the attempt's end is held back.
-  TimePoint received_{0};
-  TimePoint deadline_{0};
-  std::string body_;  ///< Held for a further attempt.
-  std::uint64_t body_bytes_ = 0;
-  bool body_ended_ = false;
-  bool is_call_ = false;  ///< Of the own server, or may be one.
-  attributed_request attributed_;
-  bool body_streamed_ = false;  ///< Parts of the body are no longer held: no second attempt.
-  bool confirms_ = false;       ///< The attempt's end is held back until the peer has room.
-  bool confirmed_ = false;      ///< It has been sent.
-  bool over_ = false;
-  bool own_answer_ = false;  ///< The attempt's answer was made by the peer daemon.
-  attempt_end own_answer_end_ = attempt_end::not_sent;
-  std::string own_answer_reason_;
-  HttpHead answer_head_;
-  std::string answer_body_;
-  bool answer_held_ = false;     ///< The answer's head and first part wait for the rest.
-  bool run_possible_ = false;    ///< Some attempt may have run.
-  std::uint32_t arrivals_ = 0;   ///< Attempts that a server received.
-  std::uint32_t lost_runs_ = 0;  ///< Servers that were lost while it ran there.
-  std::optional<Duration> blocked_for_;
+  LoopTimer wait_timer_;  ///< Runs in kWaitingForServer.
 };
 
 }  // namespace ramppond
