--- a/daemon/proxy/forwarded_attempt.cc
+++ b/daemon/proxy/forwarded_attempt.cc
@@ -51,11 +51,11 @@
   this->upstream->finishBody();
 }
 
-auto head_for_peer(const attempt_head& parts, TimePoint now) -> HttpHead {
+auto head_for_peer(const attempt_head& parts) -> HttpHead {
   const auto& terms = parts.terms;
   auto head = parts.request;
-  const auto patience_left = terms.patience() - (now - terms.received);
-  head.set(parts.deadline_field, formatMilliseconds(terms.deadline - EventLoop::now()));
+  const auto patience_left = terms.patience() - parts.waited;
+  head.set(parts.deadline_field, formatMilliseconds(parts.time_left));
   add_field(head, kPeerInstance, parts.instance.instance_id);
   add_field(head, kPeerService, terms.service);
   add_field(head, kPeerRoute, terms.route->name);
--- a/daemon/proxy/forwarded_attempt.h
+++ b/daemon/proxy/forwarded_attempt.h
@@ -91,7 +91,9 @@
   const InstanceRecord& instance;
   const std::string& digest;
   const std::string& deadline_field;  // name of the field
+  Duration waited{0};                 // since the request came
+  Duration time_left{0};              // until its deadline
 };
-auto head_for_peer(const attempt_head& parts, TimePoint now) -> HttpHead;
+auto head_for_peer(const attempt_head& parts) -> HttpHead;
 
 }  // namespace ramppond
--- a/daemon/proxy/forwarded_retry.cc
+++ b/daemon/proxy/forwarded_retry.cc
@@ -49,9 +49,9 @@
   makeDigest();
   history_.tried.insert(instance.record.daemon_address);
   context_.counters.attempts += 1;
-  HttpHead head = head_for_peer({exchange_->request(), terms_, history_, instance.record, digest_,
-                                 context_.api.headers().deadline_ms},
-                                now);
+  HttpHead head =
+      head_for_peer({exchange_->request(), terms_, history_, instance.record, digest_,
+                     context_.api.headers().deadline_ms, now - terms_.received, timeLeft()});
   context_.directory.onSent(instance, now);
   context_.under_way.insert(this);
   attempt_.emplace(context_.loop, instance);
--- a/tests/core/answers/own_answer_test.cc
+++ b/tests/core/answers/own_answer_test.cc
@@ -12,8 +12,8 @@
 using source = retry_after_source;
 using counter = own_answer_counter;
 
-constexpr auto goal = Duration(milliseconds(1200));
-constexpr auto third_of_goal = Duration(milliseconds(400));
+constexpr auto goal = Duration(milliseconds(1500));
+constexpr auto third_of_goal = Duration(milliseconds(500));
 constexpr auto stated = Duration(milliseconds(777));
 
 /// Time in Retry-After, stated or the least of what is drawn.
--- /dev/null
+++ b/tests/daemon/proxy/forwarded_attempt_test.cc
@@ -0,0 +1,122 @@
+#include "daemon/proxy/forwarded_attempt.h"
+
+#include <gtest/gtest.h>
+
+#include <ostream>
+#include <string>
+
+namespace ramppond {
+namespace {
+
+struct history_case {
+  const char* name;
+  attempt_end end;
+  std::uint32_t arrivals;
+  bool may_have_run;
+};
+
+// Keeps the name of a test the same in every run.
+void PrintTo(const history_case& tested, std::ostream* out) {
+  *out << tested.name;
+}
+
+class forwarded_history_table : public testing::TestWithParam<history_case> {};
+
+TEST_P(forwarded_history_table, counts_arrivals_and_possible_runs) {
+  auto history = forwarded_history();
+  history.note(GetParam().end);
+  EXPECT_EQ(history.arrivals, GetParam().arrivals);
+  EXPECT_EQ(history.may_have_run, GetParam().may_have_run);
+  history.note(attempt_end::not_run);
+  EXPECT_EQ(history.arrivals, GetParam().arrivals + 1);
+  EXPECT_EQ(history.may_have_run, GetParam().may_have_run);
+}
+
+INSTANTIATE_TEST_SUITE_P(table, forwarded_history_table,
+                         testing::Values(history_case{"not_sent", attempt_end::not_sent, 0, false},
+                                         history_case{"not_run", attempt_end::not_run, 1, false},
+                                         history_case{"unknown", attempt_end::unknown, 1, true},
+                                         history_case{"blocked", attempt_end::blocked, 0, false}),
+                         [](const auto& info) { return std::string(info.param.name); });
+
+TEST(forwarded_history, notes_lost_servers_and_the_time_of_a_block) {
+  auto history = forwarded_history();
+  history.note(peer_answer{peer_outcome::not_run, "", std::nullopt});
+  EXPECT_EQ(history.lost_runs, 0U);
+  history.note(peer_answer{peer_outcome::unknown, "", std::nullopt});
+  EXPECT_EQ(history.lost_runs, 1U);
+  history.note(peer_answer{peer_outcome::blocked, "", seconds(2)});
+  EXPECT_EQ(history.lost_runs, 1U);
+  EXPECT_EQ(history.blocked_for, Duration(seconds(2)));
+}
+
+/// Names of the marks that an attempt carries, in their order.
+struct head_case {
+  const char* name;
+  std::string marks;
+  bool is_call = false;
+  RequestKind kind = RequestKind::kUnsafe;
+  std::uint32_t lost_runs = 0;
+  bool may_have_run = false;
+  bool of_retried_run = false;
+};
+
+void PrintTo(const head_case& tested, std::ostream* out) {
+  *out << tested.name;
+}
+
+class head_for_peer_table : public testing::TestWithParam<head_case> {};
+
+TEST_P(head_for_peer_table, carries_the_terms_and_the_marks) {
+  const auto& tested = GetParam();
+  auto route = TrafficRoute();
+  route.name = "lookup";
+  route.kind = tested.kind;
+  route.goal = seconds(3);
+  auto terms = forwarded_terms();
+  terms.route = &route;
+  terms.rank = 7;
+  terms.service = "records";
+  terms.is_call = tested.is_call;
+  terms.attributed.of_repeat = tested.of_retried_run;
+  auto history = forwarded_history();
+  history.lost_runs = tested.lost_runs;
+  history.may_have_run = tested.may_have_run;
+  auto instance = InstanceRecord();
+  instance.instance_id = "i-1";
+  auto request = HttpHead();
+  request.fields = {{"Host", "h"}, {"Deadline", "99999"}};
+  const auto digest = std::string("d");
+  const auto deadline = std::string("Deadline");
+
+  const auto head = head_for_peer(
+      {request, terms, history, instance, digest, deadline, milliseconds(100), milliseconds(9900)});
+
+  auto text = std::string();
+  for (const auto& field : head.fields) {
+    text += field.name + "=" + field.value + " ";
+  }
+  const auto patience = std::string(tested.is_call ? "900" : "500");
+  EXPECT_EQ(text,
+            "Host=h Deadline=9900 Ramppond-Instance=i-1 Ramppond-Service=records "
+            "Ramppond-Route=lookup Ramppond-Digest=d Ramppond-Priority=7 "
+            "Ramppond-Patience-Ms=" +
+                patience + " " + tested.marks);
+}
+
+INSTANTIATE_TEST_SUITE_P(
+    table, head_for_peer_table,
+    testing::Values(
+        head_case{"plain", ""}, head_case{"call", "Ramppond-Call=1 ", true},
+        head_case{"may_run_twice", "Ramppond-Repeatable=1 ", false, RequestKind::kSafe},
+        head_case{"lost_a_server", "Ramppond-Suspect=1 ", false, RequestKind::kUnsafe, 1},
+        head_case{"may_have_run", "Ramppond-Repeat=1 ", false, RequestKind::kUnsafe, 0, true},
+        head_case{"of_a_retried_run", "Ramppond-Repeat=1 ", false, RequestKind::kUnsafe, 0, false,
+                  true},
+        head_case{"everything",
+                  "Ramppond-Call=1 Ramppond-Repeatable=1 Ramppond-Suspect=1 Ramppond-Repeat=1 ",
+                  true, RequestKind::kDownload, 1, true, true}),
+    [](const auto& info) { return std::string(info.param.name); });
+
+}  // namespace
+}  // namespace ramppond
