--- a/daemon/proxy/forwarded_terms.cc
+++ b/daemon/proxy/forwarded_terms.cc
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "core/admission/patience.h"
+#include "core/answers/front_shedding.h"
 #include "core/tenants/identity.h"
 #include "daemon/proxy/peer_headers.h"
 
@@ -87,20 +88,21 @@
   return answer_beyond_tenant_limit(verdict.retry_after);
 }
 
-// Refusing a call would waste what its tree has cost: only requests of clients are refused here.
 auto forwarded_terms::shed(ProxyContext& context, Duration wanted) -> std::optional<own_answer> {
   this->attributed = context.calls.on_request(this->route->name, this->received + wanted);
-  this->is_call = this->attributed.origin != request_origin::client && this->tenant == nullptr;
+  this->is_call = is_call_of_server(this->attributed.origin, this->tenant != nullptr);
   if (this->is_call) {
     return std::nullopt;
   }
-  for (const auto& below : context.overload.of(this->route->name, this->received)) {
-    const auto less_urgent = context.ranksBelow(this->rank);
-    if (context.random.uniform() < shed_share(below.level, less_urgent)) {
-      return answer_overload_below(below.service);
-    }
+  const auto below = context.overload.of(this->route->name, this->received);
+  if (below.empty()) {
+    return std::nullopt;
   }
-  return std::nullopt;
+  const auto* refusing = refusing_overload(below, context.ranksBelow(this->rank), context.random);
+  if (refusing == nullptr) {
+    return std::nullopt;
+  }
+  return answer_overload_below(refusing->service);
 }
 
 }  // namespace ramppond
