--- a/core/answers/own_answer.h
+++ b/core/answers/own_answer.h
@@ -17,15 +17,15 @@
 namespace ramppond {
 
 enum class own_answer_kind : std::uint8_t {
-  no_configuration,     ///< This daemon holds none.
-  no_route,             ///< For its host and path.
-  body_too_large,       ///< By the limit of the configuration.
-  unknown_key,          ///< No key, or one that no tenant holds.
-  keys_unjudged,        ///< The lease on the keys has lapsed.
-  beyond_tenant_limit,  ///< With the time after which the tenant may send again.
-  overload_below,       ///< With the name of the overloaded service.
-  deadline_not_run,
-  deadline_may_have_run,
+  no_configuration,       ///< This daemon holds none.
+  no_route,               ///< For its host and path.
+  body_too_large,         ///< By the limit of the configuration.
+  unknown_key,            ///< No key, or one that no tenant holds.
+  keys_unjudged,          ///< The lease on the keys has lapsed.
+  beyond_tenant_limit,    ///< With the time after which the tenant may send again.
+  overload_below,         ///< With the name of the overloaded service.
+  deadline_not_run,       ///< It came before any attempt may have run.
+  deadline_may_have_run,  ///< It came after that.
   no_server,              ///< None is known that was not tried, and no attempt has run.
   no_server_left,         ///< The same, and an attempt may have run.
   attempts_not_run,       ///< With the reason of the last attempt.
@@ -36,9 +36,8 @@
 
 /// What an answer tells its caller about the request.
 enum class run_promise : std::uint8_t {
-  rejected,  ///< As it was sent, it runs nowhere; sending it again later as it is does not help,
-             ///< but for beyond_tenant_limit.
-  not_run,   ///< Provably not run; it may be sent again.
+  rejected,      ///< Not run, for the request itself: its route, size, key or tenant's limit.
+  not_run,       ///< Provably not run; it may be sent again.
   may_have_run,  ///< Nothing is promised.
 };
 
@@ -51,7 +50,7 @@
   block,
 };
 
-/// The counter that an answer has beside the one of its promise.
+/// What an answer is counted as, beside the total of those that were not run or may have run.
 enum class own_answer_counter : std::uint8_t {
   none,
   no_route,
