--- a/daemon/proxy/forwarded_answer.cc
+++ b/daemon/proxy/forwarded_answer.cc
@@ -1,6 +1,5 @@
 // What comes back to a forwarded request: the answer of its server, or one of the daemons.
-#include <algorithm>
-
+#include "core/answers/retry_after.h"
 #include "daemon/proxy/forwarded_request.h"
 #include "daemon/proxy/peer_headers.h"
 #include "net/stream/http_status.h"
@@ -8,182 +7,176 @@
 namespace ramppond {
 namespace {
 
-// Answers up to this size leave when they are whole, so that one that breaks off can be repeated.
+// Answers up to this size leave when they are whole, so that one that breaks off can be retried.
+// With less, common pages could not be; with more, many answers at once fill the memory.
 constexpr std::size_t kHeldAnswerBytes = 49152;
-// Told to whoever is refused: a third to two thirds of the goal, drawn so that those refused
-// together do not come back together.
-constexpr std::int64_t kRetryAfterDivisor = 3;
-constexpr Duration kLeastRetryAfter = milliseconds(100);
-// Without a configuration there is no goal: about as long as the control group needs to elect.
-constexpr Duration kRetryAfterWithoutConfiguration = milliseconds(400);
 
-// Seconds with three decimals.
-std::string formatSeconds(Duration time) {
-  const std::int64_t thousandths = std::chrono::duration_cast<milliseconds>(time).count();
-  std::string digits = std::to_string(thousandths % 1000);
-  digits.insert(0, 3 - digits.size(), '0');
-  return std::to_string(thousandths / 1000) + "." + digits;
+std::uint64_t* counterOf(own_answer_counter counter, ProxyCounters& counters) {
+  switch (counter) {
+    case own_answer_counter::none:
+      return nullptr;
+    case own_answer_counter::no_route:
+      return &counters.no_route;
+    case own_answer_counter::no_tenant:
+      return &counters.no_tenant;
+    case own_answer_counter::no_authority:
+      return &counters.no_authority;
+    case own_answer_counter::beyond_limit:
+      return &counters.beyond_limit;
+    case own_answer_counter::shed:
+      return &counters.shed;
+  }
+  return nullptr;
 }
 
-}  // namespace
-
-// Whether the peer daemon itself made this answer, and what it says of the request.
-void ForwardedRequest::readOutcome(const HttpHead& head) {
-  const std::string* outcome = head.find(kPeerOutcome);
-  own_answer_ = outcome != nullptr;
-  if (!own_answer_) {
-    return;
+void countOwnAnswer(const own_answer_form& form, ProxyCounters& counters) {
+  std::uint64_t* const counter = counterOf(form.counter, counters);
+  if (counter != nullptr) {
+    *counter += 1;
   }
-  const std::size_t end = std::min(outcome->find(';'), outcome->size());
-  const std::string_view kind = std::string_view(*outcome).substr(0, end);
-  own_answer_reason_ = *outcome;
-  if (kind == kOutcomeBusy) {
-    own_answer_end_ = AttemptEnd::kNotSent;
-    context_.directory.onRefused(*instance_, EventLoop::now());
-  } else if (kind == kOutcomeFenced) {
-    own_answer_end_ = AttemptEnd::kNotSent;
-    context_.directory.onFenced(*instance_, EventLoop::now());
-  } else if (kind == kOutcomeElsewhere) {
-    own_answer_end_ = AttemptEnd::kNotSent;
-  } else if (kind == kOutcomeBarred) {
-    own_answer_end_ = AttemptEnd::kBarred;
-    barred_for_ = parseMilliseconds(head.find(kPeerBarredMs));
-  } else if (kind == kOutcomeNotRun) {
-    own_answer_end_ = AttemptEnd::kNotRun;
-  } else {
-    own_answer_end_ = AttemptEnd::kUnknown;
-    lost_runs_ += 1;
+  counters.refused += form.promise == run_promise::not_run ? 1 : 0;
+  counters.failed += form.promise == run_promise::may_have_run ? 1 : 0;
+}
+
+attempt_failure failureOf(ClientFailure failure) {
+  switch (failure) {
+    case ClientFailure::kNoSocket:
+      return attempt_failure::no_socket;
+    case ClientFailure::kNotConnected:
+    case ClientFailure::kRefused:
+      return attempt_failure::not_connected;
+    default:
+      return attempt_failure::connection_lost;
   }
 }
 
+}  // namespace
+
 void ForwardedRequest::noteLoad(const HttpHead& head) {
   const TimePoint now = EventLoop::now();
   const auto load = parseLoad(head.find(kPeerLoad));
   if (!load) {
     return;
   }
-  context_.directory.onLoad(*instance_, route_->name, *load, now);
+  context_.directory.onLoad(attempt_->instance, terms_.route->name, *load, now);
   auto levels = parseOverload(head.find(kPeerOverload));
-  levels = strictest(std::move(levels), {{service_, load->shed}});
-  context_.overload.on_answer(route_->name, levels, now);
+  levels = strictest(std::move(levels), {{terms_.service, load->shed}});
+  context_.overload.on_answer(terms_.route->name, levels, now);
+}
+
+void ForwardedRequest::notePeerAnswer(const peer_answer& answer) {
+  history_.note(answer);
+  if (answer.outcome == peer_outcome::busy) {
+    context_.directory.onRefused(attempt_->instance, EventLoop::now());
+  } else if (answer.outcome == peer_outcome::fenced) {
+    context_.directory.onFenced(attempt_->instance, EventLoop::now());
+  }
 }
 
 void ForwardedRequest::onResponseHead(HttpHead head) {
-  if (over_ || instance_ == nullptr) {
+  if (!attempt_) {
     return;
   }
-  context_.directory.onReached(*instance_, EventLoop::now());
+  context_.directory.onReached(attempt_->instance, EventLoop::now());
   noteLoad(head);
-  readOutcome(head);
-  if (heldBack() && upstream_ != nullptr) {
-    upstream_->finishBody();  // Refused: the connection can be used again.
+  auto own = read_peer_answer(head);
+  if (own) {
+    notePeerAnswer(*own);
+  }
+  if (attempt_->is_held_back()) {
+    attempt_->upstream->finishBody();  // Refused: the connection can be used again.
   }
-  if (own_answer_) {
+  if (own) {
+    attempt_->answer = std::move(*own);
     return;
   }
   head.removeHopByHop();
   removePeerHeaders(head);
-  answer_head_ = std::move(head);
-  answer_held_ = true;
+  attempt_->answer = held_answer{std::move(head), {}};
 }
 
 void ForwardedRequest::onResponseBody(std::string_view data) {
-  if (over_ || own_answer_) {
+  if (!attempt_ || attempt_->has<peer_answer>()) {
     return;
   }
-  if (answer_held_) {
-    answer_body_.append(data);
-    if (answer_body_.size() > kHeldAnswerBytes) {
+  if (auto* held = std::get_if<held_answer>(&attempt_->answer)) {
+    held->body.append(data);
+    if (held->body.size() > kHeldAnswerBytes) {
       releaseAnswer();
     }
     return;
   }
   exchange_->sendBody(data);
-  if (exchange_->congested() && upstream_ != nullptr) {
-    upstream_->pauseResponse();
+  if (exchange_->congested()) {
+    attempt_->upstream->pauseResponse();
   }
 }
 
 void ForwardedRequest::releaseAnswer() {
-  answer_held_ = false;
-  exchange_->sendHead(answer_head_, framingOf(answer_head_));
-  exchange_->sendBody(answer_body_);
-  answer_body_.clear();
-  answer_body_.shrink_to_fit();
+  const held_answer held = std::move(std::get<held_answer>(attempt_->answer));
+  attempt_->answer = passed_answer{held.head.status};
+  state_ = State::kAnswering;
+  exchange_->sendHead(held.head, framingOf(held.head));
+  exchange_->sendBody(held.body);
 }
 
 void ForwardedRequest::onResponseDrained() {
-  if (upstream_ != nullptr) {
-    upstream_->resumeResponse();
+  if (attempt_) {
+    attempt_->upstream->resumeResponse();
   }
 }
 
 void ForwardedRequest::onResponseEnd() {
-  if (over_) {
+  if (!attempt_) {
     return;
   }
   const auto self = shared_from_this();
-  if (own_answer_) {
-    afterAttempt(own_answer_end_, own_answer_reason_);
+  if (const auto* own = std::get_if<peer_answer>(&attempt_->answer)) {
+    const std::string reason = own->reason;
+    afterAttempt(end_of(own->outcome), reason);
     return;
   }
   context_.counters.answered += 1;
-  if (answer_head_.status >= kServerError) {
-    context_.last_failed_forward = EventLoop::now();
-  }
-  if (answer_held_) {
+  if (attempt_->has<held_answer>()) {
     releaseAnswer();
   }
-  finish();
-}
-
-void ForwardedRequest::finish() {
-  over_ = true;
-  deadline_timer_.cancel();
-  endAttempt();
+  const auto* passed = std::get_if<passed_answer>(&attempt_->answer);
+  if (passed != nullptr && passed->status >= kServerError) {
+    context_.last_failed_forward = EventLoop::now();
+  }
+  done();
   exchange_->finish();
 }
 
 void ForwardedRequest::onRequestFailed(ClientFailure failure) {
-  if (over_) {
+  if (!attempt_) {
     return;
   }
   const auto self = shared_from_this();
-  if (exchange_->headSent()) {
-    context_.counters.broken_off += 1;
-    over_ = true;
-    deadline_timer_.cancel();
-    endAttempt();
-    exchange_->breakOff();
+  if (state_ == State::kAnswering) {
+    breakOff();
     return;
   }
-  if (failure == ClientFailure::kNoSocket) {
-    afterAttempt(AttemptEnd::kNotSent, "no socket");
-    return;
-  }
-  const bool not_connected =
-      failure == ClientFailure::kNotConnected || failure == ClientFailure::kRefused;
-  const bool held_back = heldBack();
-  if (not_connected || failure == ClientFailure::kNoAnswer) {
-    context_.directory.onUnreachable(*instance_, EventLoop::now());
-  }
-  if (not_connected) {
-    afterAttempt(AttemptEnd::kNotSent, "not connected");
-    return;
+  const attempt_failure how = failureOf(failure);
+  if (how == attempt_failure::not_connected || failure == ClientFailure::kNoAnswer) {
+    context_.directory.onUnreachable(attempt_->instance, EventLoop::now());
   }
-  afterAttempt(held_back ? AttemptEnd::kNotSent : AttemptEnd::kUnknown, "connection lost");
+  afterFailure(how);
 }
 
-Duration ForwardedRequest::retryAfter() {
-  const Duration base = route_ == nullptr
-                            ? kRetryAfterWithoutConfiguration
-                            : std::max(route_->goal / kRetryAfterDivisor, kLeastRetryAfter);
-  const double time = static_cast<double>(base.count()) * (1 + context_.random.uniform());
-  return Duration(static_cast<std::int64_t>(time));
+std::optional<Duration> ForwardedRequest::retryAfter(const own_answer& answer) {
+  const Duration goal = terms_.route == nullptr ? Duration(0) : terms_.route->goal;
+  const retry_after_verdict verdict = retry_after_of(answer, goal);
+  if (const auto* stated = std::get_if<stated_retry_after>(&verdict)) {
+    return stated->time;
+  }
+  if (const auto* drawn = std::get_if<spread_from>(&verdict)) {
+    return spread_retry_after(drawn->least, {context_.random.uniform()});
+  }
+  return std::nullopt;
 }
 
-void ForwardedRequest::logOwnAnswer(int status, const std::string& reason,
-                                    const std::string& last_peer) {
+void ForwardedRequest::logOwnAnswer(const own_answer& answer, const std::string& last_peer) {
   const TimePoint now = EventLoop::now();
   if (!context_.own_answers.allow(now.count())) {
     return;
@@ -191,58 +184,61 @@
   logEvent(now.count(), context_.own_answers.event(),
            {{"request", exchange_->request().get(context_.api.headers().request_id)},
             {"digest", digest_},
-            {"status", std::to_string(status)},
-            {"reason", reason},
-            {"route", route_ == nullptr ? "" : route_->name},
-            {"service", service_},
-            {"tenant", tenant_ == nullptr ? "" : tenant_->name},
-            {"held_us", std::to_string((now - received_).count())},
-            {"left_us", std::to_string((deadline_ - now).count())},
-            {"attempts", std::to_string(tried_.size())},
-            {"arrivals", std::to_string(arrivals_)},
+            {"status", std::to_string(form_of(answer.kind).status)},
+            {"reason", reason_of(answer)},
+            {"route", terms_.route == nullptr ? "" : terms_.route->name},
+            {"service", terms_.service},
+            {"tenant", terms_.tenant == nullptr ? "" : terms_.tenant->name},
+            {"held_us", std::to_string((now - terms_.received).count())},
+            {"left_us", std::to_string((terms_.deadline - now).count())},
+            {"attempts", std::to_string(history_.tried.size())},
+            {"arrivals", std::to_string(history_.arrivals)},
             {"peer", last_peer}});
 }
 
-void ForwardedRequest::answerOwn(int status, const std::string& reason, bool retry_after) {
-  answerOwn(status, reason, retry_after ? std::optional<Duration>(retryAfter()) : std::nullopt);
+void ForwardedRequest::answerOwn(const own_answer& answer) {
+  const std::optional<Duration> retry_after = retryAfter(answer);
+  std::string last_peer;
+  if (attempt_) {
+    attempt_->upstream->cancel();
+    last_peer = attempt_->instance.record.daemon_address;
+  }
+  done();
+  logOwnAnswer(answer, last_peer);
+  noteOwnAnswer(form_of(answer.kind));
+  respondOwn(answer, retry_after);
 }
 
-void ForwardedRequest::answerOwn(int status, const std::string& reason,
-                                 std::optional<Duration> retry_after) {
-  over_ = true;
-  deadline_timer_.cancel();
-  if (upstream_ != nullptr) {
-    upstream_->cancel();
-  }
-  const std::string last = instance_ == nullptr ? std::string() : instance_->record.daemon_address;
-  endAttempt();
-  logOwnAnswer(status, reason, last);
-  if (status >= kServerError) {
-    context_.last_failed_forward = EventLoop::now();
+void ForwardedRequest::noteOwnAnswer(const own_answer_form& form) {
+  const TimePoint now = EventLoop::now();
+  countOwnAnswer(form, context_.counters);
+  if (form.promise != run_promise::rejected) {
+    context_.last_failed_forward = now;
   }
-  if (counted_by_quota_ && status == kUnavailable) {
-    context_.quotas.on_not_run(tenant_->name, EventLoop::now());
+  if (terms_.counted_by_quota && form.promise == run_promise::not_run) {
+    context_.quotas.on_not_run(terms_.tenant->name, now);
   }
-  if (status == kUnavailable) {
-    context_.counters.refused += 1;
-  } else if (status >= kBadGateway) {
-    context_.counters.failed += 1;
+}
+
+void ForwardedRequest::respondOwn(const own_answer& answer, std::optional<Duration> retry_after) {
+  if (answer.kind == own_answer_kind::body_too_large) {
+    exchange_->closeAfterwards();  // The rest of the body is not read.
   }
   HttpHead head;
-  head.status = status;
+  head.status = form_of(answer.kind).status;
   const std::string& id_header = context_.api.headers().request_id;
   const std::string* id = exchange_->request().find(id_header);
   if (id != nullptr) {
     head.fields.push_back({id_header, *id});
   }
   if (retry_after) {
-    head.fields.push_back({"Retry-After", formatSeconds(*retry_after)});
+    head.fields.push_back({"Retry-After", format_retry_after(*retry_after)});
   }
-  if (status == kUnauthorized) {
+  if (head.status == kUnauthorized) {
     head.fields.push_back({"WWW-Authenticate", "Bearer"});
   }
   head.fields.push_back({"Content-Type", "text/plain"});
-  exchange_->respond(std::move(head), reason + "\n");
+  exchange_->respond(std::move(head), reason_of(answer) + "\n");
 }
 
 }  // namespace ramppond
--- a/daemon/proxy/forwarded_attempt.cc
+++ b/daemon/proxy/forwarded_attempt.cc
@@ -1,240 +1,72 @@
-// The attempts of a forwarded request: choice of a server, sending, repeating.
-#include <algorithm>
+#include "daemon/proxy/forwarded_attempt.h"
 
-#include "core/admission/patience.h"
-#include "core/crash_evidence/request_digest.h"
-#include "daemon/proxy/forwarded_request.h"
 #include "daemon/proxy/peer_headers.h"
-#include "net/stream/http_status.h"
 
 namespace ramppond {
 namespace {
 
-// Attempts, whether a server received them or not.
-constexpr std::size_t kMaximumTried = 6;
-// A request for a service of which no server is known waits for this share of its goal.
-constexpr std::int64_t kServerWaitDivisor = 4;
-constexpr Duration kServerWaitInterval = milliseconds(20);
-// A peer answers within the time that a request may wait there and a round trip.
-constexpr Duration kAdmissionMargin = milliseconds(250);
-constexpr Duration kLeastTimeForAttempt = milliseconds(10);
-// A request that lost two servers is more likely their end than a bystander of both.
-constexpr std::uint32_t kMostLostRuns = 2;
-
-// A repeat is worth what it completes: the last call of a run completes it with one more success,
-// an earlier one needs as many as are to come. So the later a call's place, the less it must leave
-// in the budget. A client's request has no work behind it.
-constexpr double kReserveACallToCome = 0.25;
-constexpr double kMostReserve = 0.75;
-constexpr double kReserveOfClients = 0.25;
-constexpr double kReserveOfUnknownPlace = 0.5;
+void add_field(HttpHead& head, std::string_view name, std::string value) {
+  head.fields.push_back({std::string(name), std::move(value)});
+}
 
-budget_reserve reserve_of(bool is_call, std::optional<std::uint32_t> calls_to_come) {
-  if (!is_call) {
-    return {kReserveOfClients};
+void add_mark(HttpHead& head, std::string_view name, bool set) {
+  if (set) {
+    add_field(head, name, "1");
   }
-  if (!calls_to_come) {
-    return {kReserveOfUnknownPlace};
-  }
-  return {std::min(kMostReserve, kReserveACallToCome * *calls_to_come)};
 }
 
 }  // namespace
 
-// Right after a restart no server may be known yet: whoever waits for one shortly is served within
-// its goal, while the parent of a refused call has run for nothing.
-bool ForwardedRequest::mayWaitForServer(TimePoint now) const {
-  return tried_.empty() && now - received_ < route_->goal / kServerWaitDivisor &&
-         timeLeft() > kLeastTimeForAttempt;
+void forwarded_history::note(attempt_end end) {
+  this->arrivals += was_received(end) ? 1 : 0;
+  this->may_have_run = this->may_have_run || end == attempt_end::unknown;
 }
 
-// Repeats hold the same body, so it is made once.
-void ForwardedRequest::makeDigest() {
-  if (!digest_.empty()) {
-    return;
+void forwarded_history::note(const peer_answer& answer) {
+  if (answer.outcome == peer_outcome::blocked) {
+    this->blocked_for = answer.blocked_for;
   }
-  const HttpHead& head = exchange_->request();
-  const std::string_view caller = tenant_ == nullptr ? std::string_view() : tenant_->name;
-  digest_ = format_digest(digest_of({head.method, head.get("Host"), head.target, caller, body_}));
+  this->lost_runs += answer.outcome == peer_outcome::unknown ? 1 : 0;
 }
 
-void ForwardedRequest::attempt() {
-  const TimePoint now = EventLoop::now();
-  instance_ = context_.directory.choose(service_, route_->name, tried_, now);
-  if (instance_ == nullptr && mayWaitForServer(now)) {
-    wait_timer_.after(kServerWaitInterval, [this] { attempt(); });
-    return;
-  }
-  if (instance_ == nullptr || tried_.size() >= kMaximumTried || timeLeft() < kLeastTimeForAttempt) {
-    instance_ = nullptr;
-    if (run_possible_) {
-      answerOwn(kBadGateway, "no server left", false);
-    } else {
-      answerOwn(kUnavailable, "no server", true);
-    }
-    return;
-  }
-  makeDigest();
-  tried_.insert(instance_->record.daemon_address);
-  context_.counters.attempts += 1;
-  own_answer_ = false;
-  HttpHead head = exchange_->request();
-  const Duration patience = patience_of(route_->goal, is_call_) - (now - received_);
-  head.set(context_.api.headers().deadline_ms, formatMilliseconds(timeLeft()));
-  head.fields.push_back({std::string(kPeerInstance), instance_->record.instance_id});
-  head.fields.push_back({std::string(kPeerService), service_});
-  head.fields.push_back({std::string(kPeerRoute), route_->name});
-  head.fields.push_back({std::string(kPeerDigest), digest_});
-  head.fields.push_back({std::string(kPeerPriority), std::to_string(rank_)});
-  head.fields.push_back({std::string(kPeerPatienceMs), formatMilliseconds(patience)});
-  if (is_call_) {
-    head.fields.push_back({std::string(kPeerCall), "1"});
-  }
-  if (isRepeatable(route_->kind)) {
-    head.fields.push_back({std::string(kPeerRepeatable), "1"});
-  }
-  if (lost_runs_ > 0) {
-    head.fields.push_back({std::string(kPeerSuspect), "1"});
-  }
-  if (run_possible_ || attributed_.of_repeat) {
-    head.fields.push_back({std::string(kPeerRepeat), "1"});
-  }
-  context_.directory.onSent(*instance_, now);
-  context_.under_way.insert(this);
-  send(std::move(head));
-}
-
-// What may not be repeated is not complete at the peer before there is room for it there: whatever
+// What must not run twice is not complete at the peer before there is room for it there: whatever
 // happens until then, it has not run and may go elsewhere.
-void ForwardedRequest::send(HttpHead head) {
-  HttpClientPool& peer = context_.peer(instance_->record.daemon_address);
-  confirms_ = !isRepeatable(route_->kind) && body_ended_;
-  confirmed_ = false;
-  if (!confirms_) {
-    upstream_ = peer.start(head, framingOf(head), body_, body_ended_, shared_from_this());
+void forwarded_attempt::send(HttpClientPool& peer, HttpHead head, const forwarded_body& body,
+                             bool may_run_twice, const std::shared_ptr<ClientHandler>& handler) {
+  const auto framing = framingOf(head);
+  if (may_run_twice || !body.ended()) {
+    this->upstream = peer.start(head, framing, body.bytes(), body.ended(), handler);
     return;
   }
-  head.fields.push_back(
-      {std::string(kPeerConfirm), formatBodyForm({body_.size(), framingOf(head)})});
+  this->end = request_end::held_back;
+  add_field(head, kPeerConfirm, formatBodyForm({body.bytes().size(), framing}));
   head.content_length.reset();
   head.chunked = true;
-  upstream_ = peer.start(head, BodyFraming::kChunked, body_, false, shared_from_this());
-  const Duration patience = patience_of(route_->goal, is_call_);
-  confirm_timer_.after(patience + kAdmissionMargin, [this] { onNotAdmitted(); });
-}
-
-void ForwardedRequest::onInterim(int /*status*/) {
-  if (over_ || !heldBack() || upstream_ == nullptr) {
-    return;
-  }
-  confirmed_ = true;
-  confirm_timer_.cancel();
-  upstream_->finishBody();
-}
-
-// The peer neither has room nor refuses: it is gone or stands still.
-void ForwardedRequest::onNotAdmitted() {
-  if (over_ || !heldBack() || upstream_ == nullptr) {
-    return;
-  }
-  const auto self = shared_from_this();
-  context_.directory.onUnreachable(*instance_, EventLoop::now());
-  upstream_->cancel();
-  afterAttempt(AttemptEnd::kNotSent, "not admitted");
+  this->upstream = peer.start(head, BodyFraming::kChunked, body.bytes(), false, handler);
 }
 
-void ForwardedRequest::endAttempt() {
-  context_.under_way.erase(this);
-  confirm_timer_.cancel();
-  confirms_ = false;
-  if (instance_ != nullptr) {
-    context_.directory.onEnded(*instance_);
-    instance_ = nullptr;
-  }
-  upstream_.reset();
-  answer_held_ = false;
-  answer_body_.clear();
+void forwarded_attempt::confirm() {
+  this->end = request_end::confirmed;
+  this->confirm_timer.cancel();
+  this->upstream->finishBody();
 }
 
-bool ForwardedRequest::mayRepeat(AttemptEnd end, std::uint32_t arrivals) {
-  if (body_streamed_ || tried_.size() >= kMaximumTried || timeLeft() < kLeastTimeForAttempt) {
-    return false;
-  }
-  if (end == AttemptEnd::kBarred || lost_runs_ >= kMostLostRuns) {
-    return false;
-  }
-  if (end == AttemptEnd::kNotSent) {
-    return true;
-  }
-  if (end == AttemptEnd::kUnknown && !isRepeatable(route_->kind)) {
-    return false;
-  }
-  if (arrivals >= route_->max_attempts) {
-    return false;
-  }
-  const budget_reserve reserve = reserve_of(is_call_, attributed_.calls_to_come);
-  const budget_draw draw = {context_.random.uniform()};
-  if (!context_.budget(service_).take(EventLoop::now(), reserve, draw)) {
-    context_.counters.repeats_unpaid += 1;
-    return false;
-  }
-  context_.counters.repeats += 1;
-  return true;
-}
-
-void ForwardedRequest::noteAttempt(AttemptEnd end) {
-  endAttempt();
-  const bool received = end == AttemptEnd::kNotRun || end == AttemptEnd::kUnknown;
-  arrivals_ += received ? 1 : 0;
-  run_possible_ = run_possible_ || end == AttemptEnd::kUnknown;
-}
-
-void ForwardedRequest::repeat(const std::string& reason) {
-  const TimePoint now = EventLoop::now();
-  if (context_.repeats.allow(now.count())) {
-    logEvent(now.count(), context_.repeats.event(),
-             {{"request", exchange_->request().get(context_.api.headers().request_id)},
-              {"digest", digest_},
-              {"service", service_},
-              {"after", reason}});
-  }
-  attempt();
-}
-
-void ForwardedRequest::onPeerSilent(const KnownInstance& instance) {
-  const bool waits_there = !over_ && instance_ == &instance && upstream_ != nullptr;
-  if (!waits_there || answer_held_ || exchange_->headSent()) {
-    return;
-  }
-  if (heldBack()) {
-    onNotAdmitted();
-    return;
-  }
-  if (!isRepeatable(route_->kind)) {
-    return;
-  }
-  if (!mayRepeat(AttemptEnd::kUnknown, arrivals_ + 1)) {
-    return;
-  }
-  upstream_->cancel();
-  noteAttempt(AttemptEnd::kUnknown);
-  repeat("peer silent");
-}
-
-void ForwardedRequest::afterAttempt(AttemptEnd end, const std::string& reason) {
-  noteAttempt(end);
-  if (mayRepeat(end, arrivals_)) {
-    context_.counters.repeats_of_unknown += end == AttemptEnd::kUnknown ? 1 : 0;
-    repeat(reason);
-    return;
-  }
-  if (run_possible_) {
-    answerOwn(kBadGateway, reason, false);
-  } else if (barred_for_) {
-    answerOwn(kUnavailable, reason, barred_for_);
-  } else {
-    answerOwn(kUnavailable, reason, true);
-  }
+auto head_for_peer(const attempt_head& parts) -> HttpHead {
+  const auto& terms = parts.terms;
+  auto head = parts.request;
+  const auto patience_left = terms.patience() - parts.waited;
+  head.set(parts.deadline_field, formatMilliseconds(parts.time_left));
+  add_field(head, kPeerInstance, parts.instance.instance_id);
+  add_field(head, kPeerService, terms.service);
+  add_field(head, kPeerRoute, terms.route->name);
+  add_field(head, kPeerDigest, parts.digest);
+  add_field(head, kPeerPriority, std::to_string(terms.rank));
+  add_field(head, kPeerPatienceMs, formatMilliseconds(patience_left));
+  add_mark(head, kPeerCall, terms.is_call);
+  add_mark(head, kPeerRepeatable, terms.may_run_twice());
+  add_mark(head, kPeerSuspect, parts.history.lost_runs > 0);
+  add_mark(head, kPeerRepeat, parts.history.may_have_run || terms.attributed.of_repeat);
+  return head;
 }
 
 }  // namespace ramppond
