--- a/daemon/proxy/inbound_answer.cc
+++ b/daemon/proxy/inbound_answer.cc
@@ -1,4 +1,4 @@
-// What the server beside this daemon answers to a request of a peer, or how its run ended else.
+// The answer to a peer's request: the own server's, or a refusal in its place.
 #include "daemon/proxy/inbound_request.h"
 #include "daemon/proxy/peer_headers.h"
 #include "net/stream/http_status.h"
@@ -32,8 +32,86 @@
   return status == kNoContent || status == kNotModified;
 }
 
+std::string_view outcomeWord(refusal_kind kind) {
+  switch (kind) {
+    case refusal_kind::busy:
+      return kOutcomeBusy;
+    case refusal_kind::fenced:
+      return kOutcomeFenced;
+    case refusal_kind::elsewhere:
+      return kOutcomeElsewhere;
+    case refusal_kind::blocked:
+      return kOutcomeBarred;
+    case refusal_kind::not_run:
+      return kOutcomeNotRun;
+    case refusal_kind::unknown:
+      break;
+  }
+  return kOutcomeUnknown;
+}
+
 }  // namespace
 
+void InboundRequest::refuse(inbound_refusal refusal) {
+  const refusal_terms terms = terms_of(refusal);
+  const std::string outcome(outcomeWord(terms.kind));
+  const std::string reason(terms.reason);
+  count(terms.counter);
+  HttpHead head;
+  head.status = terms.status;
+  const std::string& id_header = context_.api.headers().request_id;
+  const std::string* id = exchange_->request().find(id_header);
+  if (id != nullptr) {
+    head.fields.push_back({id_header, *id});
+  }
+  head.fields.push_back({std::string(kPeerOutcome), outcome + ";" + reason});
+  addLoad(head);
+  const TimePoint now = EventLoop::now();
+  if (blocked_until_) {
+    head.fields.push_back({std::string(kPeerBarredMs), formatMilliseconds(*blocked_until_ - now)});
+  }
+  if (context_.refusals.allow(now.count())) {
+    logEvent(now.count(), context_.refusals.event(),
+             {{"request", exchange_->request().get(id_header)},
+              {"digest", digest_ ? format_digest(*digest_) : std::string()},
+              {"outcome", outcome},
+              {"reason", reason},
+              {"instance", incarnation_},
+              {"held_us", std::to_string((now - received_).count())},
+              {"load", formatLoad(context_.serverLoad(route_))}});
+  }
+  const auto exchange = exchange_;
+  done();
+  exchange->respond(std::move(head), "");
+}
+
+void InboundRequest::count(refusal_counter counter) {
+  switch (counter) {
+    case refusal_counter::none:
+      break;
+    case refusal_counter::fenced:
+      context_.counters.inbound_fenced += 1;
+      break;
+    case refusal_counter::refused:
+      context_.counters.inbound_refused += 1;
+      break;
+    case refusal_counter::breaker:
+      context_.counters.inbound_broken += 1;
+      break;
+    case refusal_counter::blocked:
+      context_.counters.inbound_barred += 1;
+      break;
+  }
+}
+
+void InboundRequest::addLoad(HttpHead& head) {
+  head.fields.push_back({std::string(kPeerLoad), formatLoad(context_.serverLoad(route_))});
+  const std::string below = formatOverload(context_.overloadBelow(route_));
+  if (!below.empty()) {
+    head.fields.push_back({std::string(kPeerOverload), below});
+  }
+}
+
 void InboundRequest::onResponseHead(HttpHead head) {
   if (state_ != State::kRunning) {
     return;
@@ -81,7 +159,7 @@
   }
   const auto self = shared_from_this();
   if (discarding_) {
-    refuse(kOutcomeNotRun, "server", kUnavailable);
+    refuse(inbound_refusal::declared_not_run);
   } else {
     const auto exchange = exchange_;
     done();
@@ -107,7 +185,7 @@
 
 void InboundRequest::onServerRefusedConnection() {
   const bool others_stand = context_.noteServerRefusal(incarnation_);
-  refuse(others_stand ? kOutcomeBusy : kOutcomeFenced, "no connection", kUnavailable);
+  refuse(others_stand ? inbound_refusal::no_connection : inbound_refusal::server_gone);
 }
 
 void InboundRequest::onRequestFailed(ClientFailure failure) {
@@ -120,9 +198,9 @@
     noteLost();
   }
   if (failure == ClientFailure::kNoSocket) {
-    refuse(kOutcomeBusy, "no socket", kUnavailable);
+    refuse(inbound_refusal::no_socket);
   } else if (failure == ClientFailure::kNotConnected) {
-    refuse(kOutcomeBusy, "no connection", kUnavailable);
+    refuse(inbound_refusal::no_connection);
   } else if (failure == ClientFailure::kRefused) {
     onServerRefusedConnection();
   } else if (exchange_->headSent()) {
@@ -130,9 +208,9 @@
     done();
     exchange->breakOff();
   } else if (discarding_) {
-    refuse(kOutcomeNotRun, "server", kUnavailable);
+    refuse(inbound_refusal::declared_not_run);
   } else {
-    refuse(kOutcomeUnknown, "connection lost", kBadGateway);
+    refuse(inbound_refusal::connection_lost);
   }
   finishServerWork(outcomeOf(failure));
 }
--- a/daemon/proxy/inbound_request.cc
+++ b/daemon/proxy/inbound_request.cc
@@ -77,9 +77,8 @@
   if (verdict == FenceVerdict::kAdmit && !context_.refuse_peers) {
     return false;
   }
-  context_.counters.inbound_fenced += 1;
   const bool leaving = verdict == FenceVerdict::kDraining || context_.refuse_peers;
-  refuse(kOutcomeFenced, leaving ? "draining" : "other instance", kUnavailable);
+  refuse(leaving ? inbound_refusal::draining : inbound_refusal::other_instance);
   return true;
 }
 
@@ -96,10 +95,10 @@
                           if (context_.guard.has_trial(*digest_)) {
                             isolate(kIsolationDivisor);
                           } else {
-                            refuse(kOutcomeElsewhere, "tried elsewhere", kUnavailable);
+                            refuse(inbound_refusal::trial_elsewhere);
                           }
                         },
-                        [&](const barred& b) { refuseBarred(b.until); }},
+                        [&](const barred& b) { refuseBlocked(b.until); }},
              held);
 }
 
@@ -129,7 +128,7 @@
   if (lightly_suspected_) {
     askAdmission();
   } else {
-    refuse(kOutcomeElsewhere, "not alone", kUnavailable);
+    refuse(inbound_refusal::not_alone);
   }
 }
 
@@ -139,24 +138,21 @@
   }
 }
 
-void InboundRequest::refuseBarred(TimePoint until) {
-  context_.counters.inbound_barred += 1;
-  barred_until_ = until;
-  refuse(kOutcomeBarred, "ends servers", kUnavailable);
+void InboundRequest::refuseBlocked(TimePoint until) {
+  blocked_until_ = until;
+  refuse(inbound_refusal::blocked);
 }
 
 void InboundRequest::askAdmission() {
   if (!context_.breaker.admit(repeatable_, EventLoop::now())) {
-    context_.counters.inbound_broken += 1;
-    refuse(kOutcomeBusy, "server fails", kUnavailable);
+    refuse(inbound_refusal::breaker_open);
     return;
   }
   state_ = State::kWaiting;
   admission_.service_time = context_.times.of(route_, EventLoop::now());
   const AdmissionVerdict verdict = context_.admission.offer(admission_, EventLoop::now());
   if (verdict == AdmissionVerdict::kRefuse) {
-    context_.counters.inbound_refused += 1;
-    refuse(kOutcomeBusy, "queue", kUnavailable);
+    refuse(inbound_refusal::queue_full);
     return;
   }
   if (verdict == AdmissionVerdict::kDispatch) {
@@ -176,7 +172,7 @@
     return;
   }
   if (deadline_ - begun_ < kLeastTimeLeft) {
-    refuse(kOutcomeBusy, "deadline", kUnavailable);
+    refuse(inbound_refusal::deadline_near);
     finishServerWork(ServerOutcome::kWithdrawn);
     return;
   }
@@ -202,7 +198,7 @@
 // Its sender has fallen silent, or has sent it elsewhere: the slot goes to another request.
 void InboundRequest::onNotConfirmed() {
   if (state_ == State::kConfirming) {
-    refuse(kOutcomeBusy, "not confirmed", kUnavailable);
+    refuse(inbound_refusal::not_confirmed);
     finishServerWork(ServerOutcome::kWithdrawn);
   }
 }
@@ -238,45 +234,7 @@
 
 void InboundRequest::onPatienceEnded() {
   if (state_ == State::kWaiting) {
-    context_.counters.inbound_refused += 1;
-    refuse(kOutcomeBusy, "waited", kUnavailable);
-  }
-}
-
-void InboundRequest::refuse(std::string_view outcome, const std::string& reason, int status) {
-  HttpHead head;
-  head.status = status;
-  const std::string& id_header = context_.api.headers().request_id;
-  const std::string* id = exchange_->request().find(id_header);
-  if (id != nullptr) {
-    head.fields.push_back({id_header, *id});
-  }
-  head.fields.push_back({std::string(kPeerOutcome), std::string(outcome) + ";" + reason});
-  addLoad(head);
-  const TimePoint now = EventLoop::now();
-  if (barred_until_) {
-    head.fields.push_back({std::string(kPeerBarredMs), formatMilliseconds(*barred_until_ - now)});
-  }
-  if (context_.refusals.allow(now.count())) {
-    logEvent(now.count(), context_.refusals.event(),
-             {{"request", exchange_->request().get(id_header)},
-              {"digest", digest_ ? format_digest(*digest_) : std::string()},
-              {"outcome", std::string(outcome)},
-              {"reason", reason},
-              {"instance", incarnation_},
-              {"held_us", std::to_string((now - received_).count())},
-              {"load", formatLoad(context_.serverLoad(route_))}});
-  }
-  const auto exchange = exchange_;
-  done();
-  exchange->respond(std::move(head), "");
-}
-
-void InboundRequest::addLoad(HttpHead& head) {
-  head.fields.push_back({std::string(kPeerLoad), formatLoad(context_.serverLoad(route_))});
-  const std::string below = formatOverload(context_.overloadBelow(route_));
-  if (!below.empty()) {
-    head.fields.push_back({std::string(kPeerOverload), below});
+    refuse(inbound_refusal::patience_ended);
   }
 }
 
--- a/daemon/proxy/inbound_request.h
+++ b/daemon/proxy/inbound_request.h
@@ -4,6 +4,7 @@
 #include <memory>
 #include <string>
 
+#include "core/admission/inbound_refusal.h"
 #include "daemon/proxy/peer_headers.h"
 #include "daemon/proxy/proxy_context.h"
 #include "net/stream/http_client.h"
@@ -55,7 +56,7 @@
   /// Everything has come that is needed: decides by what is known of requests like this one.
   void begin();
   void isolate(std::int64_t share_of_time_left);
-  void refuseBarred(TimePoint until);
+  void refuseBlocked(TimePoint until);
   void askAdmission();
   void askConfirmation();
   void onConfirmed();
@@ -63,7 +64,9 @@
   void dispatch();
   [[nodiscard]] bool bodyArrived() const;
   bool refuseIfFenced();
-  void refuse(std::string_view outcome, const std::string& reason, int status);
+  /// Answers in place of the server and ends the request.
+  void refuse(inbound_refusal refusal);
+  void count(refusal_counter counter);
   void finishServerWork(ServerOutcome outcome);
   /// Adds what the daemon that sent the request is told of load here and below.
   void addLoad(HttpHead& head);
@@ -90,7 +93,7 @@
   std::optional<BodyForm> confirmed_by_end_;  ///< The request is confirmed by its end.
   LoopTimer confirm_timer_;
   std::optional<TimePoint> isolated_until_;
-  std::optional<TimePoint> barred_until_;
+  std::optional<TimePoint> blocked_until_;
   bool lightly_suspected_ = false;
   bool alone_ = false;  ///< It began while no other suspected request ran at the server.
   bool repeatable_ = false;
