--- /dev/null
+++ b/core/retries/retry_budgets.cc
@@ -0,0 +1,27 @@
+#include "core/retries/retry_budgets.h"
+
+#include <utility>
+
+namespace ramppond {
+
+retry_budgets::retry_budgets(double platform_ratio, shared_repeats shared)
+    : ratio{platform_ratio * retry_ratio_used}, shared(shared) {}
+
+auto retry_budgets::of(const std::string& service) -> retry_budget& {
+  const auto found = this->budgets.find(service);
+  if (found != this->budgets.end()) {
+    return found->second;
+  }
+  auto budget = retry_budget(this->ratio, this->shared.window);
+  budget.set_allowance(this->allowance);
+  return this->budgets.emplace(service, std::move(budget)).first->second;
+}
+
+void retry_budgets::share_among(std::size_t proxies) {
+  this->allowance = part_of(this->shared, proxies);
+  for (auto& [service, budget] : this->budgets) {
+    budget.set_allowance(this->allowance);
+  }
+}
+
+}  // namespace ramppond
--- /dev/null
+++ b/core/retries/retry_budgets.h
@@ -0,0 +1,39 @@
+// The retry budgets of a proxy, one for each service that it sends to.
+//
+// Owns the budgets and the part of the platform's bounds that each of them may use. Pure, not
+// thread safe.
+#pragma once
+
+#include <cstddef>
+#include <map>
+#include <string>
+
+#include "core/retries/retry_budget.h"
+
+namespace ramppond {
+
+// Of the platform's ratio of retries to first sends. Not every call that a retried run makes is
+// known as a retry, and those count as first sends here and as retries there: with a larger part
+// the fleet exceeds the ratio, with a smaller one requests fail that a retry would have saved.
+constexpr double retry_ratio_used = 0.8;
+
+class retry_budgets {
+ public:
+  /// `platform_ratio` bounds the retries for a service as a share of its first sends. `shared` is
+  /// what all proxies together may send beyond that.
+  retry_budgets(double platform_ratio, shared_repeats shared);
+
+  /// The budget for requests to `service`; made when first needed.
+  auto of(const std::string& service) -> retry_budget&;
+
+  /// Gives each budget this proxy's part of the shared retries. Before the first call that is 0.
+  void share_among(std::size_t proxies);
+
+ private:
+  repeat_share ratio;
+  shared_repeats shared;
+  repeat_allowance allowance;
+  std::map<std::string, retry_budget> budgets;  // by service
+};
+
+}  // namespace ramppond
--- a/daemon/proxy/inbound_answer.cc
+++ b/daemon/proxy/inbound_answer.cc
@@ -6,26 +6,21 @@
 namespace ramppond {
 namespace {
 
-ServerOutcome outcomeOf(int status) {
-  if (status == kGatewayTimeout) {
-    return ServerOutcome::kDeadline;
-  }
-  return status >= kServerError ? ServerOutcome::kFailed : ServerOutcome::kAnswered;
-}
-
-ServerOutcome outcomeOf(ClientFailure failure) {
+run_failure decode(ClientFailure failure) {
   switch (failure) {
     case ClientFailure::kNoSocket:
-      return ServerOutcome::kWithdrawn;
+      return run_failure::no_socket;
     case ClientFailure::kNotConnected:
+      return run_failure::not_connected;
     case ClientFailure::kRefused:
-      return ServerOutcome::kNoAnswer;
-    case ClientFailure::kNoAnswer:
+      return run_failure::refused;
     case ClientFailure::kInvalidAnswer:
+      return run_failure::invalid_answer;
+    case ClientFailure::kNoAnswer:
     case ClientFailure::kBrokenAnswer:
-      return ServerOutcome::kLost;
+      break;
   }
-  return ServerOutcome::kLost;
+  return run_failure::connection_lost;
 }
 
 bool bodiless(int status) {
@@ -120,7 +115,7 @@
   const bool not_run = head.find(names.not_run) != nullptr || head.status == kMisdirected;
   head.removeHopByHop();
   removePeerHeaders(head);
-  outcome_ = not_run ? ServerOutcome::kNotRun : outcomeOf(head.status);
+  outcome_ = outcome_of(answer_head{head.status, not_run});
   if (not_run) {
     context_.counters.server_not_run += 1;
     discarding_ = true;
@@ -183,36 +178,34 @@
   }
 }
 
-void InboundRequest::onServerRefusedConnection() {
-  const bool others_stand = context_.noteServerRefusal(incarnation_);
-  refuse(others_stand ? inbound_refusal::no_connection : inbound_refusal::server_gone);
+answer_progress InboundRequest::answerProgress() const {
+  if (exchange_->headSent()) {
+    return answer_progress::begun;
+  }
+  return discarding_ ? answer_progress::declared_not_run : answer_progress::none;
 }
 
-void InboundRequest::onRequestFailed(ClientFailure failure) {
+void InboundRequest::onRequestFailed(ClientFailure client_failure) {
   if (state_ != State::kRunning) {
     return;
   }
   const auto self = shared_from_this();
   context_.counters.server_failures += 1;
-  if (failure == ClientFailure::kNoAnswer || failure == ClientFailure::kBrokenAnswer) {
+  const run_failure failure = decode(client_failure);
+  if (may_be_crash(failure)) {
     noteLost();
   }
-  if (failure == ClientFailure::kNoSocket) {
-    refuse(inbound_refusal::no_socket);
-  } else if (failure == ClientFailure::kNotConnected) {
-    refuse(inbound_refusal::no_connection);
-  } else if (failure == ClientFailure::kRefused) {
-    onServerRefusedConnection();
-  } else if (exchange_->headSent()) {
+  const bool others_stand =
+      failure == run_failure::refused && context_.noteServerRefusal(incarnation_);
+  const auto refusal = refusal_after(failure, answerProgress(), others_stand);
+  if (refusal) {
+    refuse(*refusal);
+  } else {
     const auto exchange = exchange_;
     done();
     exchange->breakOff();
-  } else if (discarding_) {
-    refuse(inbound_refusal::declared_not_run);
-  } else {
-    refuse(inbound_refusal::connection_lost);
   }
-  finishServerWork(outcomeOf(failure));
+  finishServerWork(outcome_of(failure));
 }
 
 }  // namespace ramppond
--- a/daemon/proxy/inbound_request.cc
+++ b/daemon/proxy/inbound_request.cc
@@ -1,6 +1,8 @@
 #include "daemon/proxy/inbound_request.h"
 
+#include "core/admission/fence_rule.h"
 #include "core/admission/patience.h"
+#include "core/admission/request_time.h"
 #include "core/overloaded.h"
 #include "daemon/proxy/peer_headers.h"
 #include "net/stream/http_status.h"
@@ -10,18 +12,8 @@
 
 // Bodies up to this size are complete before the request is begun; longer ones are streamed.
 constexpr std::size_t kWholeBodyBytes = 65536;
+// Of a request that does not tell its deadline.
 constexpr Duration kDefaultTimeLeft = seconds(60);
-// The server gives an answer at its deadline only if something is left to work with.
-// The daemon that sent a request gives it up at its deadline, a moment before ours.
-constexpr Duration kDeadlineMargin = milliseconds(20);
-constexpr Duration kLeastTimeLeft = milliseconds(2);
-// Between daemons a confirmation takes a round trip. A slot is not held longer for a sender that
-// may be gone.
-constexpr Duration kConfirmationTime = milliseconds(300);
-// A suspected request waits to run alone for this share of its time. One that was under way at one
-// end is most likely innocent and goes on beside the others then: it is late by a quarter at most.
-constexpr std::int64_t kLightIsolationDivisor = 4;
-constexpr std::int64_t kIsolationDivisor = 2;
 
 }  // namespace
 
@@ -74,39 +66,32 @@
 
 bool InboundRequest::refuseIfFenced() {
   const FenceVerdict verdict = context_.server.admit(incarnation_, service_, EventLoop::now());
-  if (verdict == FenceVerdict::kAdmit && !context_.refuse_peers) {
-    return false;
+  const auto refusal = refusal_at_fence(verdict, context_.refuse_peers);
+  if (refusal) {
+    refuse(*refusal);
   }
-  const bool leaving = verdict == FenceVerdict::kDraining || context_.refuse_peers;
-  refuse(leaving ? inbound_refusal::draining : inbound_refusal::other_instance);
-  return true;
+  return refusal.has_value();
 }
 
 void InboundRequest::begin() {
   const standing held = digest_ ? context_.guard.judge(*digest_) : standing(unsuspected{});
+  const bool has_trial =
+      std::holds_alternative<on_trial>(held) && context_.guard.has_trial(*digest_);
   alone_ = false;
-  std::visit(overloaded{[&](const unsuspected&) { askAdmission(); },
-                        [&](const suspected& s) {
-                          lightly_suspected_ = s.ends == 1;
-                          isolate(lightly_suspected_ ? kLightIsolationDivisor : kIsolationDivisor);
-                        },
-                        [&](const on_trial&) {
-                          lightly_suspected_ = false;
-                          if (context_.guard.has_trial(*digest_)) {
-                            isolate(kIsolationDivisor);
-                          } else {
-                            refuse(inbound_refusal::trial_elsewhere);
-                          }
-                        },
-                        [&](const barred& b) { refuseBlocked(b.until); }},
-             held);
+  std::visit(overloaded{[&](const begins_beside_others&) { askAdmission(); },
+                        [&](const begins_alone& b) { isolate(b.level); },
+                        [&](const begins_elsewhere&) { refuse(inbound_refusal::trial_elsewhere); },
+                        [&](const begins_nowhere& b) { refuseBlocked(b.blocked_until); }},
+             beginning_of(held, has_trial));
 }
 
-void InboundRequest::isolate(std::int64_t share_of_time_left) {
+void InboundRequest::isolate(suspicion level) {
   const TimePoint now = EventLoop::now();
+  suspicion_ = level;
   if (!isolated_until_) {
-    const Duration wait = (deadline_ - now) / share_of_time_left;
-    isolated_until_ = now + (confirmed_by_end_ ? std::min(wait, admission_.patience) : wait);
+    const auto patience =
+        confirmed_by_end_ ? std::optional<Duration>(admission_.patience) : std::nullopt;
+    isolated_until_ = now + isolation_time(level, deadline_ - now, patience);
   }
   state_ = State::kIsolated;
   if (context_.guard.enter(shared_from_this(), admission_.id, *isolated_until_)) {
@@ -125,10 +110,11 @@
   if (state_ != State::kIsolated) {
     return;
   }
-  if (lightly_suspected_) {
-    askAdmission();
+  const auto refusal = refusal_when_not_alone(suspicion_);
+  if (refusal) {
+    refuse(*refusal);
   } else {
-    refuse(inbound_refusal::not_alone);
+    askAdmission();
   }
 }
 
@@ -171,7 +157,7 @@
     finishServerWork(ServerOutcome::kWithdrawn);
     return;
   }
-  if (deadline_ - begun_ < kLeastTimeLeft) {
+  if (!has_time_to_begin(deadline_ - begun_)) {
     refuse(inbound_refusal::deadline_near);
     finishServerWork(ServerOutcome::kWithdrawn);
     return;
@@ -187,7 +173,7 @@
   state_ = State::kConfirming;
   exchange_->sendInterim(kProcessing);
   const std::weak_ptr<InboundRequest> weak = weak_from_this();
-  confirm_timer_.after(kConfirmationTime, [weak] {
+  confirm_timer_.after(confirmation_time, [weak] {
     const auto self = weak.lock();
     if (self != nullptr) {
       self->onNotConfirmed();
@@ -304,10 +290,10 @@
     finishServerWork(ServerOutcome::kWithdrawn);
   }
   if (before == State::kRunning && upstream_ != nullptr) {
-    const bool at_deadline = EventLoop::now() + kDeadlineMargin >= deadline_;
+    const ServerOutcome outcome = outcome_of_given_up(deadline_ - EventLoop::now());
     upstream_->cancel();
     noteLeft();
-    finishServerWork(at_deadline ? ServerOutcome::kNoAnswer : ServerOutcome::kWithdrawn);
+    finishServerWork(outcome);
   }
 }
 
--- a/daemon/proxy/inbound_request.h
+++ b/daemon/proxy/inbound_request.h
@@ -5,6 +5,8 @@
 #include <string>
 
 #include "core/admission/inbound_refusal.h"
+#include "core/admission/isolation_rule.h"
+#include "core/admission/run_outcome.h"
 #include "daemon/proxy/peer_headers.h"
 #include "daemon/proxy/proxy_context.h"
 #include "net/stream/http_client.h"
@@ -55,7 +57,7 @@
   void start();
   /// Everything has come that is needed: decides by what is known of requests like this one.
   void begin();
-  void isolate(std::int64_t share_of_time_left);
+  void isolate(suspicion level);
   void refuseBlocked(TimePoint until);
   void askAdmission();
   void askConfirmation();
@@ -70,7 +72,7 @@
   void finishServerWork(ServerOutcome outcome);
   /// Adds what the daemon that sent the request is told of load here and below.
   void addLoad(HttpHead& head);
-  void onServerRefusedConnection();
+  [[nodiscard]] answer_progress answerProgress() const;
   /// It may go on for a moment at a server that is not waited for any more.
   void noteLeft();
   void noteLost();
@@ -94,7 +96,7 @@
   LoopTimer confirm_timer_;
   std::optional<TimePoint> isolated_until_;
   std::optional<TimePoint> blocked_until_;
-  bool lightly_suspected_ = false;
+  suspicion suspicion_ = suspicion::heavy;  ///< Of one that is to run alone.
   bool alone_ = false;  ///< It began while no other suspected request ran at the server.
   bool repeatable_ = false;
   bool repeat_ = false;      ///< See kPeerRepeat.
--- a/daemon/proxy/proxy_context.cc
+++ b/daemon/proxy/proxy_context.cc
@@ -1,5 +1,7 @@
 #include "daemon/proxy/proxy_context.h"
 
+#include "core/admission/fence_rule.h"
+#include "core/admission/run_outcome.h"
 #include "daemon/proxy/forwarded_request.h"
 #include "daemon/proxy/inbound_request.h"
 #include "daemon/proxy/peer_headers.h"
@@ -8,11 +10,6 @@
 namespace ramppond {
 namespace {
 
-// Requests still on their way to a leaving server are let in for this share of its time.
-constexpr std::int64_t kDrainingAdmissionDivisor = 3;
-// Of the platform's ratio, this share is used: not every call of a repeated run is known as such.
-constexpr double kRetryRatioUsed = 0.8;
-constexpr Duration kCallFailureShows = milliseconds(20);
 constexpr Duration kServerConnectTimeout = milliseconds(1000);
 constexpr Duration kPeerConnectTimeout = milliseconds(300);
 // A peer whose machine is cut off acknowledges nothing: whoever may be repeated still has time.
@@ -41,9 +38,10 @@
       lease(operating_bounds.revocation),
       quotas(operating_bounds.quota, seed),
       directory({settings.zone, seed}),
-      server(bounds.drain_timeout / kDrainingAdmissionDivisor),
+      server(draining_admission_time(bounds.drain_timeout)),
       server_pool(event_loop, serverPoolOptions(settings, external)),
       guard(*this),
+      budgets(operating_bounds.retry_ratio, operating_bounds.retry_extra),
       admission_timer(event_loop) {
   if (settings.max_descriptors > 0) {
     loop.sockets().limit({settings.max_descriptors});
@@ -97,21 +95,7 @@
 }
 
 retry_budget& ProxyContext::budget(const std::string& service) {
-  const auto found = budgets.find(service);
-  if (found != budgets.end()) {
-    return found->second;
-  }
-  const repeat_share share = {bounds.retry_ratio * kRetryRatioUsed};
-  retry_budget budget(share, bounds.retry_extra.window);
-  budget.set_allowance(repeat_allowance_now);
-  return budgets.emplace(service, std::move(budget)).first->second;
-}
-
-void ProxyContext::shareRepeats() {
-  repeat_allowance_now = part_of(bounds.retry_extra, directory.size());
-  for (auto& [service, budget] : budgets) {
-    budget.set_allowance(repeat_allowance_now);
-  }
+  return budgets.of(service);
 }
 
 ServerLoad ProxyContext::serverLoad(const std::string& route) const {
@@ -143,24 +127,14 @@
 void ProxyContext::noteServerOutcome(ServerOutcome outcome, bool reused_connection) {
   const TimePoint now = EventLoop::now();
   const bool was_closed = breaker.is_closed();
-  // A server whose call has just failed fails its own request for that.
-  const bool call_failed = now - last_failed_forward < kCallFailureShows;
-  switch (outcome) {
-    case ServerOutcome::kAnswered:
+  switch (signal_of(outcome, reused_connection, now - last_failed_forward)) {
+    case breaker_signal::success:
       breaker.on_success();
       break;
-    case ServerOutcome::kFailed:
-      call_failed ? breaker.on_unknown(now) : breaker.on_failure(now);
-      break;
-    case ServerOutcome::kNotRun:
+    case breaker_signal::failure:
       breaker.on_failure(now);
       break;
-    case ServerOutcome::kLost:
-      reused_connection ? breaker.on_unknown(now) : breaker.on_failure(now);
-      break;
-    case ServerOutcome::kDeadline:
-    case ServerOutcome::kNoAnswer:
-    case ServerOutcome::kWithdrawn:
+    case breaker_signal::unknown:
       breaker.on_unknown(now);
       break;
   }
--- a/daemon/proxy/proxy_context.h
+++ b/daemon/proxy/proxy_context.h
@@ -17,7 +17,7 @@
 #include "core/placement/instance_directory.h"
 #include "core/random.h"
 #include "core/retries/call_attribution.h"
-#include "core/retries/retry_budget.h"
+#include "core/retries/retry_budgets.h"
 #include "core/tenants/api_keys.h"
 #include "core/tenants/authority_lease.h"
 #include "core/tenants/quota_gate.h"
@@ -91,9 +91,6 @@
   /// Kept connections to a process that is gone would swallow the next requests.
   void closeIdleTo(const std::string& daemon_address);
   retry_budget& budget(const std::string& service);
-  /// Gives the budgets this daemon's part of the repeats that all daemons share, by the number of
-  /// daemons that are known.
-  void shareRepeats();
   /// Begins waiting requests for which there is room now, and refuses those that waited too long.
   void pumpAdmission();
   /// Pings peers that let requests wait, and moves requests away from those that fell silent.
@@ -133,8 +130,7 @@
   HttpClientPool server_pool;
   crash_guard guard;  ///< Of the server beside it.
   std::map<std::string, std::unique_ptr<HttpClientPool>> peers;
-  repeat_allowance repeat_allowance_now;  ///< Of each budget.
-  std::map<std::string, retry_budget> budgets;
+  retry_budgets budgets;
   std::map<std::string, std::shared_ptr<peer_ping>> pings;  ///< The last one to each daemon.
   std::set<ForwardedRequest*> under_way;                    ///< Those with an attempt under way.
   std::map<AdmissionId, std::weak_ptr<InboundRequest>> waiting;
--- a/daemon/proxy/proxy_process.cc
+++ b/daemon/proxy/proxy_process.cc
@@ -423,7 +423,7 @@
   rereadSettings(false);
   seconds_ += 1;
   if (seconds_ >= kSecondsUntilFleetKnown) {
-    context_.shareRepeats();
+    context_.budgets.share_among(context_.directory.size());
   }
   if (seconds_ % kCounterSeconds == 0) {
     logCounters();
