--- a/daemon/proxy/inbound_answer.cc
+++ b/daemon/proxy/inbound_answer.cc
@@ -73,7 +73,7 @@
               {"reason", reason},
               {"instance", incarnation_},
               {"held_us", std::to_string((now - received_).count())},
-              {"load", formatLoad(context_.serverLoad(route_))}});
+              {"load", formatLoad(context_.own.load(route_))}});
   }
   const auto exchange = exchange_;
   done();
@@ -100,7 +100,7 @@
 }
 
 void InboundRequest::addLoad(HttpHead& head) {
-  head.fields.push_back({std::string(kPeerLoad), formatLoad(context_.serverLoad(route_))});
+  head.fields.push_back({std::string(kPeerLoad), formatLoad(context_.own.load(route_))});
   const std::string below = formatOverload(context_.overloadBelow(route_));
   if (!below.empty()) {
     head.fields.push_back({std::string(kPeerOverload), below});
@@ -119,8 +119,8 @@
   if (not_run) {
     context_.counters.server_not_run += 1;
     discarding_ = true;
-    if (head.status == kMisdirected && context_.server.onWrongInstance(incarnation_)) {
-      context_.reportServer();
+    if (head.status == kMisdirected) {
+      context_.own.on_wrong_instance(incarnation_);
     }
     return;
   }
--- a/daemon/proxy/inbound_request.cc
+++ b/daemon/proxy/inbound_request.cc
@@ -40,7 +40,7 @@
   const auto left = parseMilliseconds(head.find(context_.api.headers().deadline_ms));
   deadline_ = received_ + left.value_or(kDefaultTimeLeft);
   const std::string priority = head.get(kPeerPriority);
-  admission_.id = context_.next_admission_id++;
+  admission_.id = context_.waiting.next_id();
   admission_.priority = static_cast<std::uint32_t>(std::strtoul(priority.c_str(), nullptr, 10));
   admission_.patience = parseMilliseconds(head.find(kPeerPatienceMs)).value_or(Duration(0));
   admission_.is_call = head.find(kPeerCall) != nullptr;
@@ -65,7 +65,7 @@
 }
 
 bool InboundRequest::refuseIfFenced() {
-  const FenceVerdict verdict = context_.server.admit(incarnation_, service_, EventLoop::now());
+  const FenceVerdict verdict = context_.own.fence(incarnation_, service_);
   const auto refusal = refusal_at_fence(verdict, context_.refuse_peers);
   if (refusal) {
     refuse(*refusal);
@@ -130,13 +130,13 @@
 }
 
 void InboundRequest::askAdmission() {
-  if (!context_.breaker.admit(repeatable_, EventLoop::now())) {
+  if (!context_.own.breaker_admits(repeatable_)) {
     refuse(inbound_refusal::breaker_open);
     return;
   }
   state_ = State::kWaiting;
-  admission_.service_time = context_.times.of(route_, EventLoop::now());
-  const AdmissionVerdict verdict = context_.admission.offer(admission_, EventLoop::now());
+  admission_.service_time = context_.own.service_time(route_);
+  const AdmissionVerdict verdict = context_.own.admission().offer(admission_, EventLoop::now());
   if (verdict == AdmissionVerdict::kRefuse) {
     refuse(inbound_refusal::queue_full);
     return;
@@ -145,14 +145,13 @@
     onAdmitted();
     return;
   }
-  context_.waiting[admission_.id] = weak_from_this();
-  context_.pumpAdmission();
+  context_.waiting.add(admission_.id, weak_from_this());
 }
 
 void InboundRequest::onAdmitted() {
   under_way_ = true;
   begun_ = EventLoop::now();
-  context_.times.on_begun(route_, begun_);
+  context_.own.on_begun(route_, begun_);
   if (state_ == State::kDone || refuseIfFenced()) {
     finishServerWork(ServerOutcome::kWithdrawn);
     return;
@@ -235,10 +234,10 @@
   }
   under_way_ = false;
   context_.calls.on_ended(admission_.id, outcome == ServerOutcome::kAnswered);
-  context_.times.on_ended(route_, begun_, isWork(outcome), EventLoop::now());
-  context_.noteServerOutcome(outcome, upstream_ != nullptr && upstream_->reusedConnection());
-  context_.admission.onFinished(begun_, outcome, EventLoop::now());
-  context_.pumpAdmission();
+  const bool reused = upstream_ != nullptr && upstream_->reusedConnection();
+  const Duration since_failed_call = EventLoop::now() - context_.last_failed_forward;
+  context_.own.on_ended({route_, begun_, outcome, reused, since_failed_call});
+  context_.waiting.pump();
 }
 
 void InboundRequest::onRequestBody(std::string_view data) {
@@ -281,8 +280,7 @@
 
 void InboundRequest::onClientGone() {
   if (state_ == State::kWaiting) {
-    context_.admission.withdraw(admission_.id);
-    context_.waiting.erase(admission_.id);
+    context_.waiting.withdraw(admission_.id);
   }
   const State before = state_;
   done();
--- a/daemon/proxy/peer_ping.h
+++ b/daemon/proxy/peer_ping.h
@@ -1,13 +1,13 @@
-// Asks a peer daemon whether it still serves, apart from what its server does.
+// Asks a peer whether it still serves, apart from what its server does.
 //
-// Pings run over the connections that requests use. A daemon answers one at
-// once with its server's load; see core/placement/peer_liveness.h for what follows from
-// an answer and from its lack.
+// Pings run over the connections that requests use. A proxy answers one at once with its server's
+// load; see core/placement/peer_liveness.h for what follows from an answer and from its lack. On
+// the thread of the event loop.
 #pragma once
 
 #include <memory>
 
-#include "daemon/proxy/proxy_context.h"
+#include "core/placement/instance_directory.h"
 #include "net/stream/http_client.h"
 #include "net/stream/http_server.h"
 
@@ -15,11 +15,13 @@
 
 class peer_ping : public ClientHandler {
  public:
-  /// Sends a ping to the daemon beside `instance`, which must outlive the loop.
-  static void send(ProxyContext& context, KnownInstance& instance);
+  /// Sends a ping to the proxy beside `instance`, which must outlive the loop as `directory` must.
+  /// The ping ends unheard when what is returned goes.
+  static auto send(HttpClientPool& pool, InstanceDirectory& directory, KnownInstance& instance)
+      -> std::shared_ptr<peer_ping>;
 
-  peer_ping(ProxyContext& context, KnownInstance& instance)
-      : context(context), instance(instance) {}
+  peer_ping(InstanceDirectory& directory, KnownInstance& instance)
+      : directory(directory), instance(instance) {}
 
   void onResponseHead(HttpHead head) override;
   void onResponseBody(std::string_view /*data*/) override {}
@@ -27,12 +29,12 @@
   void onRequestFailed(ClientFailure failure) override;
 
  private:
-  ProxyContext& context;
+  InstanceDirectory& directory;
   KnownInstance& instance;
 };
 
-/// Answers `exchange` if it is a ping; false if it is not.
-auto answer_ping(const ProxyContext& context, const std::shared_ptr<ServerExchange>& exchange)
-    -> bool;
+[[nodiscard]] auto is_ping(const HttpHead& request) -> bool;
+/// Answers a ping with the load of the own server.
+void answer_ping(ServerExchange& exchange, const ServerLoad& load);
 
 }  // namespace ramppond
--- a/daemon/proxy/proxy_process.cc
+++ b/daemon/proxy/proxy_process.cc
@@ -92,7 +92,9 @@
                }),
       peers_(loop_, settings.peer_address, peerServerOptions(),
              [this](const std::shared_ptr<ServerExchange>& exchange) {
-               if (!answer_ping(context_, exchange)) {
+               if (is_ping(exchange->request())) {
+                 answer_ping(*exchange, context_.own.load(""));
+               } else {
                  InboundRequest::serve(context_, exchange);
                }
              }),
@@ -107,7 +109,7 @@
       liveness_timer_(loop_),
       report_timer_(loop_),
       stop_timer_(loop_) {
-  context_.on_server_changed = [this] { tellOwnRecord(); };
+  context_.own.on_changed = [this] { tellOwnRecord(); };
   context_.on_tenant_surge = [this] { reportTenantsSoon(); };
   context_.guard.on_evidence = [this](const instance_evidence& evidence) {
     session_.tellEvidence(evidence, EventLoop::now());
@@ -186,14 +188,11 @@
     logReportRefused(instance_id, leave.error);
     return false;
   }
-  if (context_.server.onLeave(*leave.value, EventLoop::now())) {
-    context_.reportServer();
-  }
+  context_.own.on_leave(*leave.value);
   return true;
 }
 
 bool ProxyProcess::onHeartbeat(const std::string& instance_id, const std::string& body) {
-  const TimePoint now = EventLoop::now();
   auto heartbeat = context_.api.parseHeartbeat(instance_id, body);
   if (heartbeat.value && !namesKnownService(*heartbeat.value)) {
     heartbeat.error = "heartbeat: service: '" + heartbeat.value->service + "' is not defined";
@@ -202,16 +201,7 @@
     logReportRefused(instance_id, heartbeat.error);
     return false;
   }
-  const std::string before = context_.server.heartbeat().incarnation();
-  if (context_.server.onHeartbeat(*heartbeat.value, now)) {
-    if (before != heartbeat.value->incarnation()) {
-      context_.guard.on_server_gone(before);
-    }
-    logEvent(now.count(), "server",
-             {{"instance", heartbeat.value->incarnation()},
-              {"state", heartbeat.value->draining ? "draining" : "ready"}});
-    context_.reportServer();
-  }
+  context_.own.on_heartbeat(*heartbeat.value);
   return true;
 }
 
@@ -231,7 +221,7 @@
 }
 
 void ProxyProcess::tellOwnRecord() {
-  InstanceRecord record = context_.server.record();
+  InstanceRecord record = context_.own.reports().record();
   record.daemon_address = context_.settings.peer_address.toString();
   record.zone = context_.settings.zone;
   if (stop_ && record.state == InstanceState::kReady) {
@@ -316,7 +306,7 @@
 void ProxyProcess::takeNews() {
   for (const InstanceRecord& record : session_.takeInstances()) {
     if (context_.directory.offer(record)) {
-      context_.closeIdleTo(record.daemon_address);
+      context_.peers.close_idle_to(record.daemon_address);
     }
   }
   context_.guard.take(session_.takeEvidence());
@@ -324,7 +314,7 @@
     return;
   }
   context_.traffic = std::make_shared<const TrafficInForce>(session_.traffic());
-  context_.applyServerLimits();
+  context_.own.set_services(session_.traffic().services);
   context_.quotas.set_limits(session_.traffic().tenants);
   const RequestLimits& limits = session_.traffic().limits;
   HttpServerOptions options = clients_.options();
@@ -410,16 +400,14 @@
 }
 
 void ProxyProcess::checkPeers() {
-  context_.checkPeers();
+  context_.monitor.check();
   liveness_timer_.after(kLivenessInterval, [this] { checkPeers(); });
 }
 
 void ProxyProcess::everySecond() {
   channels_.closeUnusedSince(EventLoop::now() - kMemberConnectionIdle);
-  context_.server_pool.sweep();
-  for (const auto& [address, pool] : context_.peers) {
-    pool->sweep();
-  }
+  context_.own.connections().sweep();
+  context_.peers.sweep();
   rereadSettings(false);
   seconds_ += 1;
   if (seconds_ >= kSecondsUntilFleetKnown) {
@@ -432,47 +420,15 @@
 }
 
 void ProxyProcess::logCounters() {
-  const ProxyCounters& counters = context_.counters;
-  const auto text = [](std::uint64_t number) { return std::to_string(number); };
-  logEvent(EventLoop::now().count(), "counters",
-           {{"requests", text(counters.requests)},
-            {"answered", text(counters.answered)},
-            {"refused", text(counters.refused)},
-            {"shed", text(counters.shed)},
-            {"failed", text(counters.failed)},
-            {"no_route", text(counters.no_route)},
-            {"no_tenant", text(counters.no_tenant)},
-            {"no_authority", text(counters.no_authority)},
-            {"beyond_limit", text(counters.beyond_limit)},
-            {"limited_alone", text(counters.limited_alone)},
-            {"clients_gone", text(counters.clients_gone)},
-            {"broken_off", text(counters.broken_off)},
-            {"attempts", text(counters.attempts)},
-            {"repeats", text(counters.repeats)},
-            {"repeats_unpaid", text(counters.repeats_unpaid)},
-            {"repeats_of_unknown", text(counters.repeats_of_unknown)},
-            {"inbound", text(counters.inbound)},
-            {"inbound_fenced", text(counters.inbound_fenced)},
-            {"inbound_refused", text(counters.inbound_refused)},
-            {"inbound_broken", text(counters.inbound_broken)},
-            {"server_not_run", text(counters.server_not_run)},
-            {"server_failures", text(counters.server_failures)},
-            {"server_ends", text(counters.server_ends)},
-            {"ended_under_way", text(counters.ended_under_way)},
-            {"isolated", text(counters.isolated)},
-            {"suspects_cleared", text(counters.suspects_cleared)},
-            {"requests_barred", text(counters.requests_barred)},
-            {"bars_withdrawn", text(counters.bars_withdrawn)},
-            {"inbound_barred", text(counters.inbound_barred)},
-            {"pings", text(counters.pings)},
-            {"silent_peers", text(counters.silent_peers)},
-            {"server_connections", text(context_.server_pool.counters().connections_opened)},
-            {"surplus", text(context_.server_pool.counters().surplus_answers)},
-            {"sockets", text(loop_.sockets().open().value)},
-            {"under_way", text(context_.admission.underWay())},
-            {"waiting", text(context_.admission.waiting())},
-            {"service_us", text(static_cast<std::uint64_t>(
-                               context_.admission.serviceTime(EventLoop::now()).count()))}});
+  const HttpClientCounters& connections = context_.own.connections().counters();
+  proxy_gauges gauges;
+  gauges.server_connections = connections.connections_opened;
+  gauges.surplus_answers = connections.surplus_answers;
+  gauges.sockets = loop_.sockets().open().value;
+  gauges.under_way = context_.own.admission().underWay();
+  gauges.waiting = context_.own.admission().waiting();
+  gauges.service_time = context_.own.admission().serviceTime(EventLoop::now());
+  logEvent(EventLoop::now().count(), "counters", counter_fields(context_.counters, gauges));
 }
 
 }  // namespace ramppond
--- /dev/null
+++ b/daemon/proxy/waiting_requests.cc
@@ -0,0 +1,62 @@
+#include "daemon/proxy/waiting_requests.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "daemon/proxy/inbound_request.h"
+
+namespace ramppond {
+namespace {
+
+// An expiry that is due at once is not looked for more often than this.
+constexpr auto least_timer = milliseconds(1);
+
+}  // namespace
+
+waiting_requests::waiting_requests(EventLoop& loop, ServerAdmission& admission)
+    : admission(admission), timer(loop) {}
+
+auto waiting_requests::next_id() -> AdmissionId {
+  this->last_id += 1;
+  return this->last_id;
+}
+
+void waiting_requests::add(AdmissionId id, std::weak_ptr<InboundRequest> request) {
+  this->requests[id] = std::move(request);
+  this->pump();
+}
+
+void waiting_requests::withdraw(AdmissionId id) {
+  this->admission.withdraw(id);
+  this->requests.erase(id);
+}
+
+auto waiting_requests::take(AdmissionId id) -> std::shared_ptr<InboundRequest> {
+  auto request = this->requests[id].lock();
+  this->requests.erase(id);
+  return request;
+}
+
+void waiting_requests::pump() {
+  const auto now = EventLoop::now();
+  for (const auto id : this->admission.takeExpired(now)) {
+    const auto request = this->take(id);
+    if (request != nullptr) {
+      request->onPatienceEnded();
+    }
+  }
+  while (const auto id = this->admission.takeDispatchable(now)) {
+    const auto request = this->take(*id);
+    if (request == nullptr) {
+      this->admission.onFinished(now, ServerOutcome::kWithdrawn, now);
+      continue;
+    }
+    request->onAdmitted();
+  }
+  const auto next = this->admission.nextExpiry();
+  if (next) {
+    this->timer.after(std::max<Duration>(*next - now, least_timer), [this] { this->pump(); });
+  }
+}
+
+}  // namespace ramppond
--- /dev/null
+++ b/tests/daemon/proxy/own_server_test.cc
@@ -0,0 +1,85 @@
+#include "daemon/proxy/own_server.h"
+
+#include <gtest/gtest.h>
+
+#include <string>
+#include <vector>
+
+namespace ramppond {
+namespace {
+
+// The circuit breaker opens at one more in a row.
+constexpr auto failures_short_of_opening = 5;
+
+auto heartbeat_of(const std::string& instance, std::uint64_t sequence) -> ServerHeartbeat {
+  auto heartbeat = ServerHeartbeat();
+  heartbeat.instance_id = instance;
+  heartbeat.service = "desk";
+  heartbeat.slots = 100;
+  heartbeat.sequence = sequence;
+  return heartbeat;
+}
+
+class own_server_of_a_proxy : public testing::Test {
+ protected:
+  own_server_of_a_proxy() : server(this->loop, {}, seconds(1)) {
+    this->server.on_changed = [this] { this->told.emplace_back("changed"); };
+    this->server.on_gone = [this](const std::string& incarnation) {
+      this->told.push_back("gone " + incarnation);
+    };
+  }
+
+  void fail_runs(int count) {
+    for (auto i = 0; i < count; ++i) {
+      this->server.admission().offer({}, EventLoop::now());
+      auto run = ended_run();
+      run.begun = EventLoop::now();
+      run.outcome = ServerOutcome::kFailed;
+      run.since_failed_call = seconds(10);
+      this->server.on_begun(run.route, run.begun);
+      this->server.on_ended(run);
+    }
+  }
+
+  EventLoop loop;
+  own_server server;
+  std::vector<std::string> told;
+};
+
+TEST_F(own_server_of_a_proxy, tells_a_change_once) {
+  const auto heartbeat = heartbeat_of("a", 1);
+  this->server.on_heartbeat(heartbeat);
+  const auto first = std::vector<std::string>{"gone " + ServerHeartbeat().incarnation(), "changed"};
+  EXPECT_EQ(this->told, first);
+  this->server.on_heartbeat(heartbeat_of("a", 2));
+  EXPECT_EQ(this->told, first);
+  EXPECT_EQ(this->server.fence(heartbeat.incarnation(), "desk"), FenceVerdict::kAdmit);
+}
+
+TEST_F(own_server_of_a_proxy, is_gone_when_it_refuses_and_no_connection_stands) {
+  const auto heartbeat = heartbeat_of("a", 1);
+  this->server.on_heartbeat(heartbeat);
+  this->told.clear();
+  EXPECT_FALSE(this->server.on_connection_refused(heartbeat.incarnation()));
+  EXPECT_EQ(this->told, (std::vector<std::string>{"gone " + heartbeat.incarnation(), "changed"}));
+  EXPECT_EQ(this->server.fence(heartbeat.incarnation(), "desk"), FenceVerdict::kNoServer);
+}
+
+TEST_F(own_server_of_a_proxy, forgets_failures_of_a_former_incarnation) {
+  this->server.on_heartbeat(heartbeat_of("a", 1));
+  this->fail_runs(failures_short_of_opening);
+  this->server.on_heartbeat(heartbeat_of("b", 1));
+  this->fail_runs(failures_short_of_opening);
+  EXPECT_TRUE(this->server.breaker_admits(true));
+}
+
+TEST_F(own_server_of_a_proxy, is_limited_by_the_connections_of_its_service) {
+  this->server.on_heartbeat(heartbeat_of("a", 1));
+  EXPECT_GT(this->server.load("").limit, 10U);
+  this->server.set_services({{"other", "/", 1}, {"desk", "/", 10}});
+  EXPECT_LE(this->server.load("").limit, 10U);
+  EXPECT_GT(this->server.load("").limit, 1U);
+}
+
+}  // namespace
+}  // namespace ramppond
