--- /dev/null
+++ b/daemon/proxy/json_answer.h
@@ -0,0 +1,16 @@
+// The answers of the proxy to the platform's readiness checks and to its server's reports.
+#pragma once
+
+#include "net/stream/http_server.h"
+
+namespace ramppond {
+
+/// Answers with `status` and an empty JSON object.
+inline void answer_empty_object(ServerExchange& exchange, int status) {
+  auto head = HttpHead();
+  head.status = status;
+  head.fields.push_back({"Content-Type", "application/json"});
+  exchange.respond(std::move(head), "{}");
+}
+
+}  // namespace ramppond
--- a/daemon/proxy/own_server.cc
+++ b/daemon/proxy/own_server.cc
@@ -1,5 +1,7 @@
 #include "daemon/proxy/own_server.h"
 
+#include <algorithm>
+
 #include "common/event_log.h"
 #include "core/admission/run_outcome.h"
 
@@ -52,6 +54,11 @@
   this->apply_limits();
 }
 
+auto own_server::is_service(const std::string& service) const -> bool {
+  return std::any_of(this->services.begin(), this->services.end(),
+                     [&](const ServiceDefinition& defined) { return defined.name == service; });
+}
+
 void own_server::report_change() {
   const auto incarnation = this->server.heartbeat().incarnation();
   if (this->server.known() && incarnation != this->judged_incarnation) {
--- a/daemon/proxy/own_server.h
+++ b/daemon/proxy/own_server.h
@@ -50,6 +50,8 @@
   /// Takes over the connections that each service's servers accept.
   void set_services(const std::vector<ServiceDefinition>& services);
 
+  /// Whether the configuration in force defines `service`.
+  [[nodiscard]] auto is_service(const std::string& service) const -> bool;
   /// The fence: whether the server takes requests for `incarnation` of `service`.
   [[nodiscard]] auto fence(const std::string& incarnation, const std::string& service) const
       -> FenceVerdict;
--- a/daemon/proxy/proxy_context.h
+++ b/daemon/proxy/proxy_context.h
@@ -86,10 +86,9 @@
   std::function<void()> on_tenant_surge;
   TimePoint last_failed_forward{0};  ///< When a request that began here last ended without success.
   bool refuse_peers = false;         ///< This proxy ends soon: nothing new may begin at its server.
-  DecisionLimit own_answers{"own_answer"};          ///< Answers made here in place of a server's.
-  DecisionLimit repeats{"repeat"};                  ///< Retries.
-  DecisionLimit refused_reports{"report_refused"};  ///< Of a server, or of another writer.
-  DecisionLimit refusals{"inbound_refused"};        ///< Requests of peers that were not run here.
+  DecisionLimit own_answers{"own_answer"};    ///< Answers made here in place of a server's.
+  DecisionLimit repeats{"repeat"};            ///< Retries.
+  DecisionLimit refusals{"inbound_refused"};  ///< Requests of peers that were not run here.
 };
 
 }  // namespace ramppond
