--- a/daemon/proxy/inbound_answer.cc
+++ b/daemon/proxy/inbound_answer.cc
@@ -166,13 +166,13 @@
   finishServerWork(outcome_);
 }
 
-void InboundRequest::noteLeft() {
+void InboundRequest::tellGuardOfLeaving() {
   if (digest_) {
     context_.guard.on_left({incarnation_, *digest_, alone_});
   }
 }
 
-void InboundRequest::noteLost() {
+void InboundRequest::tellGuardOfLoss() {
   if (digest_) {
     context_.guard.on_lost({incarnation_, *digest_, alone_});
   }
@@ -193,10 +193,10 @@
   context_.counters.server_failures += 1;
   const run_failure failure = decode(client_failure);
   if (may_be_crash(failure)) {
-    noteLost();
+    tellGuardOfLoss();
   }
   const bool others_stand =
-      failure == run_failure::refused && context_.noteServerRefusal(incarnation_);
+      failure == run_failure::refused && context_.own.on_connection_refused(incarnation_);
   const auto refusal = refusal_after(failure, answerProgress(), others_stand);
   if (refusal) {
     refuse(*refusal);
--- a/daemon/proxy/inbound_request.cc
+++ b/daemon/proxy/inbound_request.cc
@@ -10,7 +10,8 @@
 namespace ramppond {
 namespace {
 
-// Bodies up to this size are complete before the request is begun; longer ones are streamed.
+// Bodies up to this size are complete before the request is begun; longer ones are streamed. With
+// more, the bodies of waiting requests fill the memory; with less, slow senders hold slots.
 constexpr std::size_t kWholeBodyBytes = 65536;
 // Of a request that does not tell its deadline.
 constexpr Duration kDefaultTimeLeft = seconds(60);
@@ -29,6 +30,17 @@
 void InboundRequest::start() {
   context_.counters.inbound += 1;
   received_ = EventLoop::now();
+  decodeHead();
+  if (refuseIfFenced()) {
+    return;
+  }
+  body_ended_ = !exchange_->hasBody();
+  if (bodyArrived()) {
+    begin();
+  }
+}
+
+void InboundRequest::decodeHead() {
   HttpHead& head = exchange_->mutableRequest();
   incarnation_ = head.get(kPeerInstance);
   service_ = head.get(kPeerService);
@@ -46,22 +58,15 @@
   admission_.is_call = head.find(kPeerCall) != nullptr;
   admission_.pressing_wait = pressing_wait(admission_.patience, admission_.is_call);
   head.removeHopByHop();
-  repeatable_ = head.find(kPeerRepeatable) != nullptr;
-  repeat_ = head.find(kPeerRepeat) != nullptr;
-  confirmed_by_end_ = parseBodyForm(head.get(kPeerConfirm));
+  retryable_ = head.find(kPeerRepeatable) != nullptr;
+  retry_ = head.find(kPeerRepeat) != nullptr;
+  held_back_ = parseBodyForm(head.get(kPeerConfirm));
   removePeerHeaders(head);
-  if (refuseIfFenced()) {
-    return;
-  }
-  body_ended_ = !exchange_->hasBody();
-  if (bodyArrived()) {
-    begin();
-  }
 }
 
 // Whether everything has come that is needed to ask for room.
 bool InboundRequest::bodyArrived() const {
-  return body_ended_ || (confirmed_by_end_ && body_.size() >= confirmed_by_end_->bytes);
+  return body_ended_ || (held_back_ && body_.size() >= held_back_->bytes);
 }
 
 bool InboundRequest::refuseIfFenced() {
@@ -89,25 +94,24 @@
   const TimePoint now = EventLoop::now();
   suspicion_ = level;
   if (!isolated_until_) {
-    const auto patience =
-        confirmed_by_end_ ? std::optional<Duration>(admission_.patience) : std::nullopt;
+    const auto patience = held_back_ ? std::optional<Duration>(admission_.patience) : std::nullopt;
     isolated_until_ = now + isolation_time(level, deadline_ - now, patience);
   }
-  state_ = State::kIsolated;
+  state_ = State::kAwaitingIsolation;
   if (context_.guard.enter(shared_from_this(), admission_.id, *isolated_until_)) {
     onAlone();
   }
 }
 
 void InboundRequest::onAlone() {
-  if (state_ == State::kIsolated) {
+  if (state_ == State::kAwaitingIsolation) {
     alone_ = true;
     askAdmission();
   }
 }
 
 void InboundRequest::onIsolationEnded() {
-  if (state_ != State::kIsolated) {
+  if (state_ != State::kAwaitingIsolation) {
     return;
   }
   const auto refusal = refusal_when_not_alone(suspicion_);
@@ -119,7 +123,7 @@
 }
 
 void InboundRequest::reconsider() {
-  if (state_ == State::kIsolated) {
+  if (state_ == State::kAwaitingIsolation) {
     begin();
   }
 }
@@ -130,11 +134,11 @@
 }
 
 void InboundRequest::askAdmission() {
-  if (!context_.own.breaker_admits(repeatable_)) {
+  if (!context_.own.breaker_admits(retryable_)) {
     refuse(inbound_refusal::breaker_open);
     return;
   }
-  state_ = State::kWaiting;
+  state_ = State::kAwaitingRoom;
   admission_.service_time = context_.own.service_time(route_);
   const AdmissionVerdict verdict = context_.own.admission().offer(admission_, EventLoop::now());
   if (verdict == AdmissionVerdict::kRefuse) {
@@ -161,7 +165,7 @@
     finishServerWork(ServerOutcome::kWithdrawn);
     return;
   }
-  if (confirmed_by_end_ && !body_ended_) {
+  if (held_back_ && !body_ended_) {
     askConfirmation();
   } else {
     dispatch();
@@ -169,7 +173,7 @@
 }
 
 void InboundRequest::askConfirmation() {
-  state_ = State::kConfirming;
+  state_ = State::kAwaitingEnd;
   exchange_->sendInterim(kProcessing);
   const std::weak_ptr<InboundRequest> weak = weak_from_this();
   confirm_timer_.after(confirmation_time, [weak] {
@@ -182,7 +186,7 @@
 
 // Its sender has fallen silent, or has sent it elsewhere: the slot goes to another request.
 void InboundRequest::onNotConfirmed() {
-  if (state_ == State::kConfirming) {
+  if (state_ == State::kAwaitingEnd) {
     refuse(inbound_refusal::not_confirmed);
     finishServerWork(ServerOutcome::kWithdrawn);
   }
@@ -200,15 +204,15 @@
 void InboundRequest::dispatch() {
   const Duration left = deadline_ - EventLoop::now();
   state_ = State::kRunning;
-  context_.calls.on_begun(admission_.id, route_, deadline_, repeat_);
+  context_.calls.on_begun(admission_.id, route_, deadline_, retry_);
   HttpHead& head = exchange_->mutableRequest();
   head.set(context_.api.headers().deadline_ms, formatMilliseconds(left));
-  head.set(context_.api.headers().expect_instance, context_.server.heartbeat().instance_id);
-  if (confirmed_by_end_) {
-    const bool has_length = confirmed_by_end_->framing == BodyFraming::kLength;
-    head.chunked = confirmed_by_end_->framing == BodyFraming::kChunked;
+  head.set(context_.api.headers().expect_instance, context_.own.reports().heartbeat().instance_id);
+  if (held_back_) {
+    const bool has_length = held_back_->framing == BodyFraming::kLength;
+    head.chunked = held_back_->framing == BodyFraming::kChunked;
     head.content_length =
-        has_length ? std::optional<std::uint64_t>(confirmed_by_end_->bytes) : std::nullopt;
+        has_length ? std::optional<std::uint64_t>(held_back_->bytes) : std::nullopt;
   }
   upstream_ =
       context_.server_pool.start(head, framingOf(head), body_, body_ended_, shared_from_this());
@@ -218,7 +222,7 @@
 }
 
 void InboundRequest::onPatienceEnded() {
-  if (state_ == State::kWaiting) {
+  if (state_ == State::kAwaitingRoom) {
     refuse(inbound_refusal::patience_ended);
   }
 }
@@ -255,7 +259,7 @@
   if (state_ != State::kReceiving) {
     return;
   }
-  if (confirmed_by_end_ && bodyArrived()) {
+  if (held_back_ && bodyArrived()) {
     begin();
   } else if (body_.size() >= kWholeBodyBytes) {
     exchange_->pauseRequestBody();
@@ -267,7 +271,7 @@
   body_ended_ = true;
   if (state_ == State::kReceiving && exchange_->hasBody()) {
     begin();
-  } else if (state_ == State::kConfirming) {
+  } else if (state_ == State::kAwaitingEnd) {
     onConfirmed();
   } else if (state_ == State::kRunning && upstream_ != nullptr) {
     upstream_->finishBody();
@@ -279,18 +283,18 @@
 }
 
 void InboundRequest::onClientGone() {
-  if (state_ == State::kWaiting) {
+  if (state_ == State::kAwaitingRoom) {
     context_.waiting.withdraw(admission_.id);
   }
   const State before = state_;
   done();
-  if (before == State::kConfirming) {
+  if (before == State::kAwaitingEnd) {
     finishServerWork(ServerOutcome::kWithdrawn);
   }
   if (before == State::kRunning && upstream_ != nullptr) {
     const ServerOutcome outcome = outcome_of_given_up(deadline_ - EventLoop::now());
     upstream_->cancel();
-    noteLeft();
+    tellGuardOfLeaving();
     finishServerWork(outcome);
   }
 }
--- a/daemon/proxy/inbound_request.h
+++ b/daemon/proxy/inbound_request.h
@@ -1,4 +1,8 @@
-// A request for the server beside this daemon, sent by a daemon: fenced, admitted, run, answered.
+// A request of a peer for the own server: fenced, isolated if suspected, admitted, run, answered.
+//
+// Owns the two exchanges and where the request is on its way. The decisions are in core/admission;
+// this class decodes what they need, asks them, and carries them out. Relies on a context that
+// outlives it; on the thread of the event loop.
 #pragma once
 
 #include <memory>
@@ -22,15 +26,15 @@
   static void serve(ProxyContext& context, const std::shared_ptr<ServerExchange>& exchange);
   InboundRequest(ProxyContext& context, std::shared_ptr<ServerExchange> exchange);
 
-  /// There is room at the server; the request counts as under way.
+  /// There is room at the server; the request counts as under way there.
   void onAdmitted();
-  /// It waited for as long as it may.
+  /// It waited for room for as long as it may.
   void onPatienceEnded();
   /// No other suspected request runs at the server.
   void onAlone();
-  /// It waited for that for as long as it may.
+  /// It waited to run alone for as long as it may.
   void onIsolationEnded();
-  /// What is known of requests that end servers has changed while it waited for that.
+  /// What is known of requests that crash servers has changed while it waited to run alone.
   void reconsider();
 
   void onRequestBody(std::string_view data) override;
@@ -46,15 +50,17 @@
 
  private:
   enum class State : std::uint8_t {
-    kReceiving,
-    kIsolated,    ///< Waits until no other suspected request runs at the server.
-    kWaiting,     ///< For room at the server.
-    kConfirming,  ///< There is room; the end of the request is awaited.
-    kRunning,
+    kReceiving,          ///< What is needed to begin has not come yet.
+    kAwaitingIsolation,  ///< Until no other suspected request runs at the server.
+    kAwaitingRoom,
+    kAwaitingEnd,  ///< There is room; the sender was asked for the end that it holds back.
+    kRunning,      ///< At the server.
     kDone,
   };
 
   void start();
+  /// Takes the fields that the sending proxy added, and removes them.
+  void decodeHead();
   /// Everything has come that is needed: decides by what is known of requests like this one.
   void begin();
   void isolate(suspicion level);
@@ -70,36 +76,36 @@
   void refuse(inbound_refusal refusal);
   void count(refusal_counter counter);
   void finishServerWork(ServerOutcome outcome);
-  /// Adds what the daemon that sent the request is told of load here and below.
+  /// Adds the load of the own server, and overload further down, for the sending proxy.
   void addLoad(HttpHead& head);
   [[nodiscard]] answer_progress answerProgress() const;
-  /// It may go on for a moment at a server that is not waited for any more.
-  void noteLeft();
-  void noteLost();
+  /// Nobody waits for the server any more; it may work on the request for a moment longer.
+  void tellGuardOfLeaving();
+  void tellGuardOfLoss();
   void done();
 
   ProxyContext& context_;
   std::shared_ptr<ServerExchange> exchange_;
   std::shared_ptr<ClientExchange> upstream_;
   State state_ = State::kReceiving;
-  std::string incarnation_;
+  std::string incarnation_;  ///< That the request is meant for.
   std::string service_;
   std::string route_;
   std::optional<request_digest> digest_;
   AdmissionRequest admission_;
   TimePoint received_{0};
   TimePoint deadline_{0};
-  TimePoint begun_{0};
-  std::string body_;  ///< What came before the server took it.
+  TimePoint begun_{0};  ///< When there was room.
+  std::string body_;    ///< What came before the request was handed to the server.
   bool body_ended_ = false;
-  std::optional<BodyForm> confirmed_by_end_;  ///< The request is confirmed by its end.
+  std::optional<BodyForm> held_back_;  ///< If its sender holds back its end.
   LoopTimer confirm_timer_;
-  std::optional<TimePoint> isolated_until_;
+  std::optional<TimePoint> isolated_until_;  ///< The latest; set when it first waits to run alone.
   std::optional<TimePoint> blocked_until_;
   suspicion suspicion_ = suspicion::heavy;  ///< Of one that is to run alone.
   bool alone_ = false;  ///< It began while no other suspected request ran at the server.
-  bool repeatable_ = false;
-  bool repeat_ = false;      ///< See kPeerRepeat.
+  bool retryable_ = false;
+  bool retry_ = false;       ///< A server may have run it before; see kPeerRepeat.
   bool under_way_ = false;   ///< Counted by the admission.
   bool discarding_ = false;  ///< The server's answer says "not run": only its end is awaited.
   ServerOutcome outcome_ = ServerOutcome::kAnswered;  ///< As far as the answer's head tells.
--- a/daemon/proxy/proxy_context.h
+++ b/daemon/proxy/proxy_context.h
@@ -1,4 +1,8 @@
-// What the parts of a running proxy share. One thread; see ProxyProcess for who owns what.
+// What the parts of a running proxy share.
+//
+// Owns the parts that more than one path of requests uses. A part with a job of its own is a class
+// that takes what it uses; ForwardedRequest, InboundRequest and crash_guard take this context. On
+// the thread of the event loop.
 #pragma once
 
 #include <cstdint>
@@ -51,16 +55,18 @@
                const OperatingBounds& operating_bounds, ProxySettings own_settings,
                std::uint64_t seed);
 
+  // Shorter names for members of the parts below.
   HttpClientPool& peer(const std::string& address) { return peers.to(address); }
   retry_budget& budget(const std::string& service) { return budgets.of(service); }
+  bool noteServerRefusal(const std::string& incarnation) {
+    return own.on_connection_refused(incarnation);
+  }
+
   /// Ranks of clients' requests that are refused before those of `rank`. Routes that only servers
   /// call have none: their requests are never refused where they begin.
   [[nodiscard]] std::uint32_t ranksBelow(std::uint32_t rank) const;
   /// Overload at the services that requests of `route` need when they run at the own server.
   [[nodiscard]] std::vector<service_overload> overloadBelow(const std::string& route) const;
-  bool noteServerRefusal(const std::string& incarnation) {
-    return own.on_connection_refused(incarnation);
-  }
 
   EventLoop& loop;
   const ExternalApi& api;
--- a/daemon/proxy/proxy_process.cc
+++ b/daemon/proxy/proxy_process.cc
@@ -14,13 +14,15 @@
 namespace {
 
 constexpr std::uint32_t kCounterSeconds = 5;
-// All daemons are known by then. Before, each would take too large a part of what they share.
+// All proxies are known by then. Before, each would take too large a part of the retries that they
+// share; later, they lack theirs after every start.
 constexpr std::uint32_t kSecondsUntilFleetKnown = 10;
 constexpr Duration kLivenessInterval = milliseconds(100);
-// A member that is asked answers each second.
+// A coordinator that is asked answers each second: one that is not heard for this long is not asked
+// any more, and would otherwise hold a connection of every proxy that ever asked it.
 constexpr Duration kMemberConnectionIdle = seconds(5);
 
-// Orders the starts of one daemon: later ones have higher numbers unless the clock ran backwards,
+// Orders the starts of one proxy: later ones have higher numbers unless the clock ran backwards,
 // which ProxySession corrects.
 std::uint64_t incarnationNow() {
   return static_cast<std::uint64_t>(
@@ -28,7 +30,7 @@
           .count());
 }
 
-// To a request of another daemon that crosses the end of its connection: it was not read.
+// To a request of a peer that crosses the end of its connection: it was not read.
 std::string farewellToPeers() {
   HttpHead head;
   head.status = kUnavailable;
--- a/daemon/proxy/proxy_process.h
+++ b/daemon/proxy/proxy_process.h
@@ -1,7 +1,7 @@
-// ramppond-proxy: the daemon of the forwarding path, beside one server and the clients of one
-// machine.
+// The process ramppond-proxy: the forwarding path beside one server and the clients of one machine.
 //
-// Owns the event loop's parts and joins them; decisions are in core/. One thread.
+// Owns the event loop, the listeners, the session with the coordinators and all parts of the proxy,
+// joins them, and runs what happens at intervals. Decisions are in core/. One thread.
 #pragma once
 
 #include <boost/asio/signal_set.hpp>
@@ -33,8 +33,10 @@
 
  private:
   void serveReadiness(const std::shared_ptr<ServerExchange>& exchange);
+  /// Asks a coordinator for news if one is to be asked now.
   void poll();
   void takeNews();
+  /// The record of the own server changed: others are told with the next poll, which is due now.
   void tellOwnRecord();
   void waitForSignal();
   void onSignal(int signal);
