--- a/core/retries/retry_budgets.cc
+++ b/core/retries/retry_budgets.cc
@@ -17,7 +17,10 @@
   return this->budgets.emplace(service, std::move(budget)).first->second;
 }
 
-void retry_budgets::share_among(std::size_t proxies) {
+void retry_budgets::share_among(std::size_t proxies, Duration uptime) {
+  if (uptime < fleet_known_after) {
+    return;
+  }
   this->allowance = part_of(this->shared, proxies);
   for (auto& [service, budget] : this->budgets) {
     budget.set_allowance(this->allowance);
--- a/core/retries/retry_budgets.h
+++ b/core/retries/retry_budgets.h
@@ -17,6 +17,10 @@
 // the fleet exceeds the ratio, with a smaller one requests fail that a retry would have saved.
 constexpr double retry_ratio_used = 0.8;
 
+// Since the start of a proxy. All proxies are known by then: with less, each takes too large a part
+// of the retries that they share; with more, it lacks its own after every start.
+constexpr auto fleet_known_after = seconds(10);
+
 class retry_budgets {
  public:
   /// `platform_ratio` bounds the retries for a service as a share of its first sends. `shared` is
@@ -26,8 +30,9 @@
   /// The budget for requests to `service`; made when first needed.
   auto of(const std::string& service) -> retry_budget&;
 
-  /// Gives each budget this proxy's part of the shared retries. Before the first call that is 0.
-  void share_among(std::size_t proxies);
+  /// Gives each budget the part of one of `proxies` in the shared retries. That is nothing until
+  /// the fleet is known; `uptime` is counted from the start of this proxy.
+  void share_among(std::size_t proxies, Duration uptime);
 
  private:
   repeat_share ratio;
--- a/daemon/proxy/proxy_process.cc
+++ b/daemon/proxy/proxy_process.cc
@@ -14,9 +14,6 @@
 namespace {
 
 constexpr std::uint32_t kCounterSeconds = 5;
-// All proxies are known by then. Before, each would take too large a part of the retries that they
-// share; later, they lack theirs after every start.
-constexpr std::uint32_t kSecondsUntilFleetKnown = 10;
 constexpr Duration kLivenessInterval = milliseconds(100);
 // A coordinator that is asked answers each second: one that is not heard for this long is not asked
 // any more, and would otherwise hold a connection of every proxy that ever asked it.
@@ -249,9 +246,7 @@
   context_.peers.sweep();
   rereadSettings(false);
   seconds_ += 1;
-  if (seconds_ >= kSecondsUntilFleetKnown) {
-    context_.budgets.share_among(context_.directory.size());
-  }
+  context_.budgets.share_among(context_.directory.size(), seconds(seconds_));
   if (seconds_ % kCounterSeconds == 0) {
     logCounters();
   }
