--- a/daemon/proxy/inbound_answer.cc
+++ b/daemon/proxy/inbound_answer.cc
@@ -101,7 +101,8 @@
 
 void InboundRequest::addLoad(HttpHead& head) {
   head.fields.push_back({std::string(kPeerLoad), formatLoad(context_.own.load(route_))});
-  const std::string below = formatOverload(context_.overloadBelow(route_));
+  const std::string below = formatOverload(
+      overload_of_calls(route_, context_.calls, context_.overload, EventLoop::now()));
   if (!below.empty()) {
     head.fields.push_back({std::string(kPeerOverload), below});
   }
--- a/daemon/proxy/proxy_context.cc
+++ b/daemon/proxy/proxy_context.cc
@@ -44,28 +44,4 @@
   }
 }
 
-std::uint32_t ProxyContext::ranksBelow(std::uint32_t rank) const {
-  std::set<std::uint32_t> less_urgent;
-  for (const TrafficRoute& route : traffic->configuration.routes) {
-    if (!calls.comes_from_clients(route.name)) {
-      continue;
-    }
-    for (const std::uint32_t other : traffic->ranks.all(route.priority)) {
-      if (other > rank) {
-        less_urgent.insert(other);
-      }
-    }
-  }
-  return static_cast<std::uint32_t>(less_urgent.size());
-}
-
-std::vector<service_overload> ProxyContext::overloadBelow(const std::string& route) const {
-  const TimePoint now = EventLoop::now();
-  std::vector<service_overload> levels;
-  for (const std::string& call : calls.calls_of(route)) {
-    levels = strictest(std::move(levels), overload.of(call, now));
-  }
-  return levels;
-}
-
 }  // namespace ramppond
--- a/daemon/proxy/proxy_context.h
+++ b/daemon/proxy/proxy_context.h
@@ -13,6 +13,7 @@
 
 #include "common/event_log.h"
 #include "core/admission/overload_below.h"
+#include "core/admission/shedding.h"
 #include "core/external_api.h"
 #include "core/placement/instance_directory.h"
 #include "core/random.h"
@@ -62,11 +63,9 @@
     return own.on_connection_refused(incarnation);
   }
 
-  /// Ranks of clients' requests that are refused before those of `rank`. Routes that only servers
-  /// call have none: their requests are never refused where they begin.
-  [[nodiscard]] std::uint32_t ranksBelow(std::uint32_t rank) const;
-  /// Overload at the services that requests of `route` need when they run at the own server.
-  [[nodiscard]] std::vector<service_overload> overloadBelow(const std::string& route) const;
+  [[nodiscard]] std::uint32_t ranksBelow(std::uint32_t rank) const {
+    return less_urgent_ranks(rank, traffic->configuration.routes, traffic->ranks, calls);
+  }
 
   EventLoop& loop;
   const ExternalApi& api;
