--- a/core/admission/inbound_refusal.h
+++ b/core/admission/inbound_refusal.h
@@ -18,8 +18,8 @@
   not_alone,         // other suspected requests ran for as long as it may wait
   blocked,           // it crashes the servers that run it
   breaker_open,      // the server fails its requests
-  queue_full,        // nothing came free in time, as far as could be told at once
-  patience_ended,    // nothing came free while it waited
+  queue_full,        // no room, and its wait would exceed its patience, or too many wait
+  patience_ended,    // no room came free while it waited
   deadline_near,     // too little of its time was left when there was room
   not_confirmed,     // its sender did not send the end of the request that was held back
   no_socket,         // this proxy has no socket left
--- a/daemon/proxy/inbound_answer.cc
+++ b/daemon/proxy/inbound_answer.cc
@@ -27,6 +27,7 @@
   return status == kNoContent || status == kNotModified;
 }
 
+// The word of the wire.
 std::string_view outcomeWord(refusal_kind kind) {
   switch (kind) {
     case refusal_kind::busy:
@@ -65,21 +66,27 @@
   if (blocked_until_) {
     head.fields.push_back({std::string(kPeerBarredMs), formatMilliseconds(*blocked_until_ - now)});
   }
-  if (context_.refusals.allow(now.count())) {
-    logEvent(now.count(), context_.refusals.event(),
-             {{"request", exchange_->request().get(id_header)},
-              {"digest", digest_ ? format_digest(*digest_) : std::string()},
-              {"outcome", outcome},
-              {"reason", reason},
-              {"instance", incarnation_},
-              {"held_us", std::to_string((now - received_).count())},
-              {"load", formatLoad(context_.own.load(route_))}});
-  }
+  logRefusal(outcome, reason, now);
   const auto exchange = exchange_;
   done();
   exchange->respond(std::move(head), "");
 }
 
+void InboundRequest::logRefusal(const std::string& outcome, const std::string& reason,
+                                TimePoint now) {
+  if (!context_.refusals.allow(now.count())) {
+    return;
+  }
+  logEvent(now.count(), context_.refusals.event(),
+           {{"request", exchange_->request().get(context_.api.headers().request_id)},
+            {"digest", digest_ ? format_digest(*digest_) : std::string()},
+            {"outcome", outcome},
+            {"reason", reason},
+            {"instance", incarnation_},
+            {"held_us", std::to_string((now - received_).count())},
+            {"load", formatLoad(context_.own.load(route_))}});
+}
+
 void InboundRequest::count(refusal_counter counter) {
   switch (counter) {
     case refusal_counter::none:
--- a/daemon/proxy/inbound_request.h
+++ b/daemon/proxy/inbound_request.h
@@ -74,6 +74,7 @@
   bool refuseIfFenced();
   /// Answers in place of the server and ends the request.
   void refuse(inbound_refusal refusal);
+  void logRefusal(const std::string& outcome, const std::string& reason, TimePoint now);
   void count(refusal_counter counter);
   void finishServerWork(ServerOutcome outcome);
   /// Adds the load of the own server, and overload further down, for the sending proxy.
