--- a/daemon/proxy/inbound_request.cc
+++ b/daemon/proxy/inbound_request.cc
@@ -214,8 +214,8 @@
     head.content_length =
         has_length ? std::optional<std::uint64_t>(held_back_->bytes) : std::nullopt;
   }
-  upstream_ =
-      context_.server_pool.start(head, framingOf(head), body_, body_ended_, shared_from_this());
+  upstream_ = context_.own.connections().start(head, framingOf(head), body_, body_ended_,
+                                               shared_from_this());
   body_.clear();
   body_.shrink_to_fit();
   exchange_->resumeRequestBody();
