--- a/daemon/proxy/forwarded_answer.cc
+++ b/daemon/proxy/forwarded_answer.cc
@@ -11,7 +11,7 @@
 // With less, common pages could not be; with more, many answers at once fill the memory.
 constexpr std::size_t kHeldAnswerBytes = 49152;
 
-std::uint64_t* counterOf(own_answer_counter counter, ProxyCounters& counters) {
+std::uint64_t* counterOf(own_answer_counter counter, proxy_counters& counters) {
   switch (counter) {
     case own_answer_counter::none:
       return nullptr;
@@ -29,7 +29,7 @@
   return nullptr;
 }
 
-void countOwnAnswer(const own_answer_form& form, ProxyCounters& counters) {
+void countOwnAnswer(const own_answer_form& form, proxy_counters& counters) {
   std::uint64_t* const counter = counterOf(form.counter, counters);
   if (counter != nullptr) {
     *counter += 1;
--- a/daemon/proxy/inbound_answer.cc
+++ b/daemon/proxy/inbound_answer.cc
@@ -1,4 +1,4 @@
-// What the server beside this daemon answers to a request of a peer, or how its run ended else.
+// The answer to a peer's request: the own server's, or a refusal in its place.
 #include "daemon/proxy/inbound_request.h"
 #include "daemon/proxy/peer_headers.h"
 #include "net/stream/http_status.h"
@@ -6,34 +6,115 @@
 namespace ramppond {
 namespace {
 
-ServerOutcome outcomeOf(int status) {
-  if (status == kGatewayTimeout) {
-    return ServerOutcome::kDeadline;
-  }
-  return status >= kServerError ? ServerOutcome::kFailed : ServerOutcome::kAnswered;
-}
-
-ServerOutcome outcomeOf(ClientFailure failure) {
+run_failure decode(ClientFailure failure) {
   switch (failure) {
     case ClientFailure::kNoSocket:
-      return ServerOutcome::kWithdrawn;
+      return run_failure::no_socket;
     case ClientFailure::kNotConnected:
+      return run_failure::not_connected;
     case ClientFailure::kRefused:
-      return ServerOutcome::kNoAnswer;
-    case ClientFailure::kNoAnswer:
+      return run_failure::refused;
     case ClientFailure::kInvalidAnswer:
+      return run_failure::invalid_answer;
+    case ClientFailure::kNoAnswer:
     case ClientFailure::kBrokenAnswer:
-      return ServerOutcome::kLost;
+      break;
   }
-  return ServerOutcome::kLost;
+  return run_failure::connection_lost;
 }
 
 bool bodiless(int status) {
   return status == kNoContent || status == kNotModified;
 }
 
+// The word of the wire.
+std::string_view outcomeWord(refusal_kind kind) {
+  switch (kind) {
+    case refusal_kind::busy:
+      return kOutcomeBusy;
+    case refusal_kind::fenced:
+      return kOutcomeFenced;
+    case refusal_kind::elsewhere:
+      return kOutcomeElsewhere;
+    case refusal_kind::blocked:
+      return kOutcomeBarred;
+    case refusal_kind::not_run:
+      return kOutcomeNotRun;
+    case refusal_kind::unknown:
+      break;
+  }
+  return kOutcomeUnknown;
+}
+
 }  // namespace
 
+void InboundRequest::refuse(inbound_refusal refusal) {
+  const refusal_terms terms = terms_of(refusal);
+  const std::string outcome(outcomeWord(terms.kind));
+  const std::string reason(terms.reason);
+  count(terms.counter);
+  HttpHead head;
+  head.status = terms.status;
+  const std::string& id_header = context_.api.headers().request_id;
+  const std::string* id = exchange_->request().find(id_header);
+  if (id != nullptr) {
+    head.fields.push_back({id_header, *id});
+  }
+  head.fields.push_back({std::string(kPeerOutcome), outcome + ";" + reason});
+  addLoad(head);
+  const TimePoint now = EventLoop::now();
+  if (blocked_until_) {
+    head.fields.push_back({std::string(kPeerBarredMs), formatMilliseconds(*blocked_until_ - now)});
+  }
+  logRefusal(outcome, reason, now);
+  const auto exchange = exchange_;
+  done();
+  exchange->respond(std::move(head), "");
+}
+
+void InboundRequest::logRefusal(const std::string& outcome, const std::string& reason,
+                                TimePoint now) {
+  if (!context_.refusals.allow(now.count())) {
+    return;
+  }
+  logEvent(now.count(), context_.refusals.event(),
+           {{"request", exchange_->request().get(context_.api.headers().request_id)},
+            {"digest", digest_ ? format_digest(*digest_) : std::string()},
+            {"outcome", outcome},
+            {"reason", reason},
+            {"instance", incarnation_},
+            {"held_us", std::to_string((now - received_).count())},
+            {"load", formatLoad(context_.own.load(route_))}});
+}
+
+void InboundRequest::count(refusal_counter counter) {
+  switch (counter) {
+    case refusal_counter::none:
+      break;
+    case refusal_counter::fenced:
+      context_.counters.inbound_fenced += 1;
+      break;
+    case refusal_counter::refused:
+      context_.counters.inbound_refused += 1;
+      break;
+    case refusal_counter::breaker:
+      context_.counters.inbound_broken += 1;
+      break;
+    case refusal_counter::blocked:
+      context_.counters.inbound_barred += 1;
+      break;
+  }
+}
+
+void InboundRequest::addLoad(HttpHead& head) {
+  head.fields.push_back({std::string(kPeerLoad), formatLoad(context_.own.load(route_))});
+  const std::string below = formatOverload(
+      overload_of_calls(route_, context_.calls, context_.overload, EventLoop::now()));
+  if (!below.empty()) {
+    head.fields.push_back({std::string(kPeerOverload), below});
+  }
+}
+
 void InboundRequest::onResponseHead(HttpHead head) {
   if (state_ != State::kRunning) {
     return;
@@ -42,12 +123,12 @@
   const bool not_run = head.find(names.not_run) != nullptr || head.status == kMisdirected;
   head.removeHopByHop();
   removePeerHeaders(head);
-  outcome_ = not_run ? ServerOutcome::kNotRun : outcomeOf(head.status);
+  outcome_ = outcome_of(answer_head{head.status, not_run});
   if (not_run) {
     context_.counters.server_not_run += 1;
     discarding_ = true;
-    if (head.status == kMisdirected && context_.server.onWrongInstance(incarnation_)) {
-      context_.reportServer();
+    if (head.status == kMisdirected) {
+      context_.own.on_wrong_instance(incarnation_);
     }
     return;
   }
@@ -81,7 +162,7 @@
   }
   const auto self = shared_from_this();
   if (discarding_) {
-    refuse(kOutcomeNotRun, "server", kUnavailable);
+    refuse(inbound_refusal::declared_not_run);
   } else {
     const auto exchange = exchange_;
     done();
@@ -93,48 +174,46 @@
   finishServerWork(outcome_);
 }
 
-void InboundRequest::noteLeft() {
+void InboundRequest::tellGuardOfLeaving() {
   if (digest_) {
     context_.guard.on_left({incarnation_, *digest_, alone_});
   }
 }
 
-void InboundRequest::noteLost() {
+void InboundRequest::tellGuardOfLoss() {
   if (digest_) {
     context_.guard.on_lost({incarnation_, *digest_, alone_});
   }
 }
 
-void InboundRequest::onServerRefusedConnection() {
-  const bool others_stand = context_.noteServerRefusal(incarnation_);
-  refuse(others_stand ? kOutcomeBusy : kOutcomeFenced, "no connection", kUnavailable);
+answer_progress InboundRequest::answerProgress() const {
+  if (exchange_->headSent()) {
+    return answer_progress::begun;
+  }
+  return discarding_ ? answer_progress::declared_not_run : answer_progress::none;
 }
 
-void InboundRequest::onRequestFailed(ClientFailure failure) {
+void InboundRequest::onRequestFailed(ClientFailure client_failure) {
   if (state_ != State::kRunning) {
     return;
   }
   const auto self = shared_from_this();
   context_.counters.server_failures += 1;
-  if (failure == ClientFailure::kNoAnswer || failure == ClientFailure::kBrokenAnswer) {
-    noteLost();
-  }
-  if (failure == ClientFailure::kNoSocket) {
-    refuse(kOutcomeBusy, "no socket", kUnavailable);
-  } else if (failure == ClientFailure::kNotConnected) {
-    refuse(kOutcomeBusy, "no connection", kUnavailable);
-  } else if (failure == ClientFailure::kRefused) {
-    onServerRefusedConnection();
-  } else if (exchange_->headSent()) {
+  const run_failure failure = decode(client_failure);
+  if (may_be_crash(failure)) {
+    tellGuardOfLoss();
+  }
+  const bool others_stand =
+      failure == run_failure::refused && context_.own.on_connection_refused(incarnation_);
+  const auto refusal = refusal_after(failure, answerProgress(), others_stand);
+  if (refusal) {
+    refuse(*refusal);
+  } else {
     const auto exchange = exchange_;
     done();
     exchange->breakOff();
-  } else if (discarding_) {
-    refuse(kOutcomeNotRun, "server", kUnavailable);
-  } else {
-    refuse(kOutcomeUnknown, "connection lost", kBadGateway);
   }
-  finishServerWork(outcomeOf(failure));
+  finishServerWork(outcome_of(failure));
 }
 
 }  // namespace ramppond
--- a/daemon/proxy/inbound_request.cc
+++ b/daemon/proxy/inbound_request.cc
@@ -1,6 +1,8 @@
 #include "daemon/proxy/inbound_request.h"
 
+#include "core/admission/fence_rule.h"
 #include "core/admission/patience.h"
+#include "core/admission/request_time.h"
 #include "core/overloaded.h"
 #include "daemon/proxy/peer_headers.h"
 #include "net/stream/http_status.h"
@@ -8,20 +10,11 @@
 namespace ramppond {
 namespace {
 
-// Bodies up to this size are complete before the request is begun; longer ones are streamed.
+// Bodies up to this size are complete before the request is begun; longer ones are streamed. With
+// more, the bodies of waiting requests fill the memory; with less, slow senders hold slots.
 constexpr std::size_t kWholeBodyBytes = 65536;
+// Of a request that does not tell its deadline.
 constexpr Duration kDefaultTimeLeft = seconds(60);
-// The server gives an answer at its deadline only if something is left to work with.
-// The daemon that sent a request gives it up at its deadline, a moment before ours.
-constexpr Duration kDeadlineMargin = milliseconds(20);
-constexpr Duration kLeastTimeLeft = milliseconds(2);
-// Between daemons a confirmation takes a round trip. A slot is not held longer for a sender that
-// may be gone.
-constexpr Duration kConfirmationTime = milliseconds(300);
-// A suspected request waits to run alone for this share of its time. One that was under way at one
-// end is most likely innocent and goes on beside the others then: it is late by a quarter at most.
-constexpr std::int64_t kLightIsolationDivisor = 4;
-constexpr std::int64_t kIsolationDivisor = 2;
 
 }  // namespace
 
@@ -37,6 +30,17 @@
 void InboundRequest::start() {
   context_.counters.inbound += 1;
   received_ = EventLoop::now();
+  decodeHead();
+  if (refuseIfFenced()) {
+    return;
+  }
+  body_ended_ = !exchange_->hasBody();
+  if (bodyArrived()) {
+    begin();
+  }
+}
+
+void InboundRequest::decodeHead() {
   HttpHead& head = exchange_->mutableRequest();
   incarnation_ = head.get(kPeerInstance);
   service_ = head.get(kPeerService);
@@ -48,139 +52,120 @@
   const auto left = parseMilliseconds(head.find(context_.api.headers().deadline_ms));
   deadline_ = received_ + left.value_or(kDefaultTimeLeft);
   const std::string priority = head.get(kPeerPriority);
-  admission_.id = context_.next_admission_id++;
+  admission_.id = context_.waiting.next_id();
   admission_.priority = static_cast<std::uint32_t>(std::strtoul(priority.c_str(), nullptr, 10));
   admission_.patience = parseMilliseconds(head.find(kPeerPatienceMs)).value_or(Duration(0));
   admission_.is_call = head.find(kPeerCall) != nullptr;
   admission_.pressing_wait = pressing_wait(admission_.patience, admission_.is_call);
   head.removeHopByHop();
-  repeatable_ = head.find(kPeerRepeatable) != nullptr;
-  repeat_ = head.find(kPeerRepeat) != nullptr;
-  confirmed_by_end_ = parseBodyForm(head.get(kPeerConfirm));
+  retryable_ = head.find(kPeerRepeatable) != nullptr;
+  retry_ = head.find(kPeerRepeat) != nullptr;
+  held_back_ = parseBodyForm(head.get(kPeerConfirm));
   removePeerHeaders(head);
-  if (refuseIfFenced()) {
-    return;
-  }
-  body_ended_ = !exchange_->hasBody();
-  if (bodyArrived()) {
-    begin();
-  }
 }
 
 // Whether everything has come that is needed to ask for room.
 bool InboundRequest::bodyArrived() const {
-  return body_ended_ || (confirmed_by_end_ && body_.size() >= confirmed_by_end_->bytes);
+  return body_ended_ || (held_back_ && body_.size() >= held_back_->bytes);
 }
 
 bool InboundRequest::refuseIfFenced() {
-  const FenceVerdict verdict = context_.server.admit(incarnation_, service_, EventLoop::now());
-  if (verdict == FenceVerdict::kAdmit && !context_.refuse_peers) {
-    return false;
+  const FenceVerdict verdict = context_.own.fence(incarnation_, service_);
+  const auto refusal = refusal_at_fence(verdict, context_.refuse_peers);
+  if (refusal) {
+    refuse(*refusal);
   }
-  context_.counters.inbound_fenced += 1;
-  const bool leaving = verdict == FenceVerdict::kDraining || context_.refuse_peers;
-  refuse(kOutcomeFenced, leaving ? "draining" : "other instance", kUnavailable);
-  return true;
+  return refusal.has_value();
 }
 
 void InboundRequest::begin() {
   const standing held = digest_ ? context_.guard.judge(*digest_) : standing(unsuspected{});
+  const bool has_trial =
+      std::holds_alternative<on_trial>(held) && context_.guard.has_trial(*digest_);
   alone_ = false;
-  std::visit(overloaded{[&](const unsuspected&) { askAdmission(); },
-                        [&](const suspected& s) {
-                          lightly_suspected_ = s.ends == 1;
-                          isolate(lightly_suspected_ ? kLightIsolationDivisor : kIsolationDivisor);
-                        },
-                        [&](const on_trial&) {
-                          lightly_suspected_ = false;
-                          if (context_.guard.has_trial(*digest_)) {
-                            isolate(kIsolationDivisor);
-                          } else {
-                            refuse(kOutcomeElsewhere, "tried elsewhere", kUnavailable);
-                          }
-                        },
-                        [&](const barred& b) { refuseBarred(b.until); }},
-             held);
+  std::visit(overloaded{[&](const begins_beside_others&) { askAdmission(); },
+                        [&](const begins_alone& b) { isolate(b.level); },
+                        [&](const begins_elsewhere&) { refuse(inbound_refusal::trial_elsewhere); },
+                        [&](const begins_nowhere& b) { refuseBlocked(b.blocked_until); }},
+             beginning_of(held, has_trial));
 }
 
-void InboundRequest::isolate(std::int64_t share_of_time_left) {
+void InboundRequest::isolate(suspicion level) {
   const TimePoint now = EventLoop::now();
+  suspicion_ = level;
   if (!isolated_until_) {
-    const Duration wait = (deadline_ - now) / share_of_time_left;
-    isolated_until_ = now + (confirmed_by_end_ ? std::min(wait, admission_.patience) : wait);
+    const auto patience = held_back_ ? std::optional<Duration>(admission_.patience) : std::nullopt;
+    isolated_until_ = now + isolation_time(level, deadline_ - now, patience);
   }
-  state_ = State::kIsolated;
+  state_ = State::kAwaitingIsolation;
   if (context_.guard.enter(shared_from_this(), admission_.id, *isolated_until_)) {
     onAlone();
   }
 }
 
 void InboundRequest::onAlone() {
-  if (state_ == State::kIsolated) {
+  if (state_ == State::kAwaitingIsolation) {
     alone_ = true;
     askAdmission();
   }
 }
 
 void InboundRequest::onIsolationEnded() {
-  if (state_ != State::kIsolated) {
+  if (state_ != State::kAwaitingIsolation) {
     return;
   }
-  if (lightly_suspected_) {
-    askAdmission();
+  const auto refusal = refusal_when_not_alone(suspicion_);
+  if (refusal) {
+    refuse(*refusal);
   } else {
-    refuse(kOutcomeElsewhere, "not alone", kUnavailable);
+    askAdmission();
   }
 }
 
 void InboundRequest::reconsider() {
-  if (state_ == State::kIsolated) {
+  if (state_ == State::kAwaitingIsolation) {
     begin();
   }
 }
 
-void InboundRequest::refuseBarred(TimePoint until) {
-  context_.counters.inbound_barred += 1;
-  barred_until_ = until;
-  refuse(kOutcomeBarred, "ends servers", kUnavailable);
+void InboundRequest::refuseBlocked(TimePoint until) {
+  blocked_until_ = until;
+  refuse(inbound_refusal::blocked);
 }
 
 void InboundRequest::askAdmission() {
-  if (!context_.breaker.admit(repeatable_, EventLoop::now())) {
-    context_.counters.inbound_broken += 1;
-    refuse(kOutcomeBusy, "server fails", kUnavailable);
+  if (!context_.own.breaker_admits(retryable_)) {
+    refuse(inbound_refusal::breaker_open);
     return;
   }
-  state_ = State::kWaiting;
-  admission_.service_time = context_.times.of(route_, EventLoop::now());
-  const AdmissionVerdict verdict = context_.admission.offer(admission_, EventLoop::now());
+  state_ = State::kAwaitingRoom;
+  admission_.service_time = context_.own.service_time(route_);
+  const AdmissionVerdict verdict = context_.own.admission().offer(admission_, EventLoop::now());
   if (verdict == AdmissionVerdict::kRefuse) {
-    context_.counters.inbound_refused += 1;
-    refuse(kOutcomeBusy, "queue", kUnavailable);
+    refuse(inbound_refusal::queue_full);
     return;
   }
   if (verdict == AdmissionVerdict::kDispatch) {
     onAdmitted();
     return;
   }
-  context_.waiting[admission_.id] = weak_from_this();
-  context_.pumpAdmission();
+  context_.waiting.add(admission_.id, weak_from_this());
 }
 
 void InboundRequest::onAdmitted() {
   under_way_ = true;
   begun_ = EventLoop::now();
-  context_.times.on_begun(route_, begun_);
+  context_.own.on_begun(route_, begun_);
   if (state_ == State::kDone || refuseIfFenced()) {
     finishServerWork(ServerOutcome::kWithdrawn);
     return;
   }
-  if (deadline_ - begun_ < kLeastTimeLeft) {
-    refuse(kOutcomeBusy, "deadline", kUnavailable);
+  if (!has_time_to_begin(deadline_ - begun_)) {
+    refuse(inbound_refusal::deadline_near);
     finishServerWork(ServerOutcome::kWithdrawn);
     return;
   }
-  if (confirmed_by_end_ && !body_ended_) {
+  if (held_back_ && !body_ended_) {
     askConfirmation();
   } else {
     dispatch();
@@ -188,10 +173,10 @@
 }
 
 void InboundRequest::askConfirmation() {
-  state_ = State::kConfirming;
+  state_ = State::kAwaitingEnd;
   exchange_->sendInterim(kProcessing);
   const std::weak_ptr<InboundRequest> weak = weak_from_this();
-  confirm_timer_.after(kConfirmationTime, [weak] {
+  confirm_timer_.after(confirmation_time, [weak] {
     const auto self = weak.lock();
     if (self != nullptr) {
       self->onNotConfirmed();
@@ -201,8 +186,8 @@
 
 // Its sender has fallen silent, or has sent it elsewhere: the slot goes to another request.
 void InboundRequest::onNotConfirmed() {
-  if (state_ == State::kConfirming) {
-    refuse(kOutcomeBusy, "not confirmed", kUnavailable);
+  if (state_ == State::kAwaitingEnd) {
+    refuse(inbound_refusal::not_confirmed);
     finishServerWork(ServerOutcome::kWithdrawn);
   }
 }
@@ -219,64 +204,26 @@
 void InboundRequest::dispatch() {
   const Duration left = deadline_ - EventLoop::now();
   state_ = State::kRunning;
-  context_.calls.on_begun(admission_.id, route_, deadline_, repeat_);
+  context_.calls.on_begun(admission_.id, route_, deadline_, retry_);
   HttpHead& head = exchange_->mutableRequest();
   head.set(context_.api.headers().deadline_ms, formatMilliseconds(left));
-  head.set(context_.api.headers().expect_instance, context_.server.heartbeat().instance_id);
-  if (confirmed_by_end_) {
-    const bool has_length = confirmed_by_end_->framing == BodyFraming::kLength;
-    head.chunked = confirmed_by_end_->framing == BodyFraming::kChunked;
+  head.set(context_.api.headers().expect_instance, context_.own.reports().heartbeat().instance_id);
+  if (held_back_) {
+    const bool has_length = held_back_->framing == BodyFraming::kLength;
+    head.chunked = held_back_->framing == BodyFraming::kChunked;
     head.content_length =
-        has_length ? std::optional<std::uint64_t>(confirmed_by_end_->bytes) : std::nullopt;
+        has_length ? std::optional<std::uint64_t>(held_back_->bytes) : std::nullopt;
   }
-  upstream_ =
-      context_.server_pool.start(head, framingOf(head), body_, body_ended_, shared_from_this());
+  upstream_ = context_.own.connections().start(head, framingOf(head), body_, body_ended_,
+                                               shared_from_this());
   body_.clear();
   body_.shrink_to_fit();
   exchange_->resumeRequestBody();
 }
 
 void InboundRequest::onPatienceEnded() {
-  if (state_ == State::kWaiting) {
-    context_.counters.inbound_refused += 1;
-    refuse(kOutcomeBusy, "waited", kUnavailable);
-  }
-}
-
-void InboundRequest::refuse(std::string_view outcome, const std::string& reason, int status) {
-  HttpHead head;
-  head.status = status;
-  const std::string& id_header = context_.api.headers().request_id;
-  const std::string* id = exchange_->request().find(id_header);
-  if (id != nullptr) {
-    head.fields.push_back({id_header, *id});
-  }
-  head.fields.push_back({std::string(kPeerOutcome), std::string(outcome) + ";" + reason});
-  addLoad(head);
-  const TimePoint now = EventLoop::now();
-  if (barred_until_) {
-    head.fields.push_back({std::string(kPeerBarredMs), formatMilliseconds(*barred_until_ - now)});
-  }
-  if (context_.refusals.allow(now.count())) {
-    logEvent(now.count(), context_.refusals.event(),
-             {{"request", exchange_->request().get(id_header)},
-              {"digest", digest_ ? format_digest(*digest_) : std::string()},
-              {"outcome", std::string(outcome)},
-              {"reason", reason},
-              {"instance", incarnation_},
-              {"held_us", std::to_string((now - received_).count())},
-              {"load", formatLoad(context_.serverLoad(route_))}});
-  }
-  const auto exchange = exchange_;
-  done();
-  exchange->respond(std::move(head), "");
-}
-
-void InboundRequest::addLoad(HttpHead& head) {
-  head.fields.push_back({std::string(kPeerLoad), formatLoad(context_.serverLoad(route_))});
-  const std::string below = formatOverload(context_.overloadBelow(route_));
-  if (!below.empty()) {
-    head.fields.push_back({std::string(kPeerOverload), below});
+  if (state_ == State::kAwaitingRoom) {
+    refuse(inbound_refusal::patience_ended);
   }
 }
 
@@ -291,10 +238,10 @@
   }
   under_way_ = false;
   context_.calls.on_ended(admission_.id, outcome == ServerOutcome::kAnswered);
-  context_.times.on_ended(route_, begun_, isWork(outcome), EventLoop::now());
-  context_.noteServerOutcome(outcome, upstream_ != nullptr && upstream_->reusedConnection());
-  context_.admission.onFinished(begun_, outcome, EventLoop::now());
-  context_.pumpAdmission();
+  const bool reused = upstream_ != nullptr && upstream_->reusedConnection();
+  const Duration since_failed_call = EventLoop::now() - context_.last_failed_forward;
+  context_.own.on_ended({route_, begun_, outcome, reused, since_failed_call});
+  context_.waiting.pump();
 }
 
 void InboundRequest::onRequestBody(std::string_view data) {
@@ -312,7 +259,7 @@
   if (state_ != State::kReceiving) {
     return;
   }
-  if (confirmed_by_end_ && bodyArrived()) {
+  if (held_back_ && bodyArrived()) {
     begin();
   } else if (body_.size() >= kWholeBodyBytes) {
     exchange_->pauseRequestBody();
@@ -324,7 +271,7 @@
   body_ended_ = true;
   if (state_ == State::kReceiving && exchange_->hasBody()) {
     begin();
-  } else if (state_ == State::kConfirming) {
+  } else if (state_ == State::kAwaitingEnd) {
     onConfirmed();
   } else if (state_ == State::kRunning && upstream_ != nullptr) {
     upstream_->finishBody();
@@ -336,20 +283,19 @@
 }
 
 void InboundRequest::onClientGone() {
-  if (state_ == State::kWaiting) {
-    context_.admission.withdraw(admission_.id);
-    context_.waiting.erase(admission_.id);
+  if (state_ == State::kAwaitingRoom) {
+    context_.waiting.withdraw(admission_.id);
   }
   const State before = state_;
   done();
-  if (before == State::kConfirming) {
+  if (before == State::kAwaitingEnd) {
     finishServerWork(ServerOutcome::kWithdrawn);
   }
   if (before == State::kRunning && upstream_ != nullptr) {
-    const bool at_deadline = EventLoop::now() + kDeadlineMargin >= deadline_;
+    const ServerOutcome outcome = outcome_of_given_up(deadline_ - EventLoop::now());
     upstream_->cancel();
-    noteLeft();
-    finishServerWork(at_deadline ? ServerOutcome::kNoAnswer : ServerOutcome::kWithdrawn);
+    tellGuardOfLeaving();
+    finishServerWork(outcome);
   }
 }
 
