--- a/core/admission/circuit_breaker.cc
+++ b/core/admission/circuit_breaker.cc
@@ -7,23 +7,25 @@
 namespace ramppond {
 namespace {
 
-// A server that fails one request in two shows this many in a row every few
-// seconds; one that fails one in a hundred never does.
+// In a row. Fewer, a server that fails one request in a hundred is left too; more, one that fails
+// every second request is left late.
 constexpr auto failures_to_open = std::uint32_t(6);
+// Before the first probe; each probe that fails doubles the pause, up to the longest. Shorter, more
+// requests are lost to probes; longer, a server that has recovered stays idle.
 constexpr auto first_pause = milliseconds(150);
 constexpr auto longest_pause = milliseconds(1200);
-// A request that can't be repeated tries the server only if no other came.
-constexpr auto wait_for_repeatable = milliseconds(500);
-// The request that tries the server may take long; another is let in after
-// this.
-constexpr auto trial_time = seconds(1);
+// After a pause only a request that may be retried is let in as probe, for this time. Then any
+// request is, so that a server that gets only others is not left for ever.
+constexpr auto probe_reserved_for_retryable = milliseconds(500);
+// A probe may take long; the next one is let in after this time.
+constexpr auto probe_interval = seconds(1);
 
 }  // namespace
 
-auto circuit_breaker::admit(bool repeatable, TimePoint now) -> bool {
-  const auto tried_at = [&](TimePoint from, Duration pause) {
-    const auto patience = repeatable ? Duration(0) : Duration(wait_for_repeatable);
-    if (now < from + patience) {
+auto circuit_breaker::admit(bool retryable, TimePoint now) -> bool {
+  const auto probe_from = [&](TimePoint from, Duration pause) {
+    const auto reserved = retryable ? Duration(0) : Duration(probe_reserved_for_retryable);
+    if (now < from + reserved) {
       return false;
     }
     this->state = half_open{now, pause};
@@ -31,8 +33,8 @@
   };
   return std::visit(
       overloaded{[](const closed&) { return true; },
-                 [&](const open& s) { return tried_at(s.until, s.pause); },
-                 [&](const half_open& s) { return tried_at(s.since + trial_time, s.pause); }},
+                 [&](const open& s) { return probe_from(s.until, s.pause); },
+                 [&](const half_open& s) { return probe_from(s.since + probe_interval, s.pause); }},
       this->state);
 }
 
@@ -41,17 +43,18 @@
 }
 
 void circuit_breaker::on_failure(TimePoint now) {
-  const auto next = [&](Duration pause) { this->state = open{now + pause, pause}; };
-  std::visit(
-      overloaded{[&](closed& s) {
-                   ++s.failures;
-                   if (s.failures >= failures_to_open) {
-                     next(first_pause);
-                   }
-                 },
-                 [](const open&) {},  // let in before the breaker opened
-                 [&](const half_open& s) { next(std::min<Duration>(s.pause * 2, longest_pause)); }},
-      this->state);
+  const auto open_for = [&](Duration pause) { this->state = open{now + pause, pause}; };
+  std::visit(overloaded{[&](closed& s) {
+                          ++s.failures;
+                          if (s.failures >= failures_to_open) {
+                            open_for(first_pause);
+                          }
+                        },
+                        [](const open&) {},  // admitted before the breaker opened
+                        [&](const half_open& s) {
+                          open_for(std::min<Duration>(s.pause * 2, longest_pause));
+                        }},
+             this->state);
 }
 
 void circuit_breaker::on_unknown(TimePoint now) {
--- a/core/admission/circuit_breaker.h
+++ b/core/admission/circuit_breaker.h
@@ -1,10 +1,13 @@
-// Keeps requests away from a server that fails them.
+// Decides whether requests may go to a server that has failed requests lately.
 //
-// The daemon beside a server sees every answer of it, so it can tell at once
-// when the server fails on its own, and can refuse requests before they reach
-// it: they are provably not run and go to another server, at no cost to any
-// retry budget. Had each of its callers to find out by itself, the failures
-// would grow with their number. Pure, not thread safe.
+// Input: how each admitted request ended, and for each new one whether it may be retried. Output:
+// admit or not. Owns the state of one server: closed (all are admitted), open (none until a pause
+// has passed), half-open (one probe is under way). Pure, not thread safe.
+//
+// The proxy beside a server sees every answer of it, so it finds out with the fewest failed
+// requests. What it refuses has provably not run and goes to another server at no cost to any
+// retry budget. If each caller had to find out by itself, the failures would grow with the number
+// of callers.
 #pragma once
 
 #include <cstdint>
@@ -18,15 +21,16 @@
  public:
   circuit_breaker() : state(closed{0}) {}
 
-  /// Whether a request may go to the server now. While the breaker is open one
-  /// request after a pause tries the server; `repeatable` ones are preferred.
-  auto admit(bool repeatable, TimePoint now) -> bool;
+  /// Whether a request may go to the server now. After a pause one request is admitted as probe;
+  /// `retryable` ones are preferred, since the probe may fail.
+  auto admit(bool retryable, TimePoint now) -> bool;
 
-  /// The server did an admitted request, or failed it for a reason of its own.
+  /// The server did an admitted request.
   void on_success();
+  /// The server failed an admitted request for a reason of its own.
   void on_failure(TimePoint now);
 
-  /// An admitted request ended without telling anything of the server.
+  /// An admitted request ended in a way that says nothing about the server.
   void on_unknown(TimePoint now);
 
   [[nodiscard]] auto is_closed() const -> bool {
@@ -42,7 +46,7 @@
     Duration pause;
   };
   struct half_open {
-    TimePoint since;  // when the request that tries the server was let in
+    TimePoint since;  // when the probe was admitted
     Duration pause;
   };
 
--- a/core/admission/overload_below.cc
+++ b/core/admission/overload_below.cc
@@ -6,27 +6,31 @@
 namespace ramppond {
 namespace {
 
-// The servers of a service tell levels of their own; a few answers of each are
-// averaged. Each hop adds this time to what the front knows.
-constexpr auto smoothing = milliseconds(100);
-// A route that is told nothing of a service for so long needs it no more.
+// Each server of a service reports its own level, so a few answers of each are averaged. Shorter,
+// the level follows single servers; longer, each hop adds this time to the front's delay.
+constexpr auto level_smoothing_time = milliseconds(100);
+// A route no longer needs a service that its answers have not reported for this time.
 constexpr auto need_remembered = seconds(5);
-// A level that is not told any more falls off.
-constexpr auto remembered = milliseconds(1000);
-// Below this it is the noise of single servers.
-constexpr double least_level = 0.05;
-// Some of each rank is served always: refused requests come back once, and a
-// kind of request must not be starved.
-constexpr double most_share = 0.8;
-constexpr std::size_t most_routes = 1024;
-constexpr std::size_t most_services = 32;
+// Time constant of the decay of a level that is not reported any more, so that a service whose
+// answers have stopped is tried again.
+constexpr auto unreported_decay_time = milliseconds(1000);
+// In ranks. Lower levels are noise of single servers and refuse nothing.
+constexpr double min_level = 0.05;
+// Of the requests of a rank. Above, a kind of request could be starved; below, less can be kept
+// away from a service that has lost most of its servers.
+constexpr double max_shed_share = 0.8;
+// These bound memory.
+constexpr std::size_t max_routes = 1024;
+constexpr std::size_t max_services = 1024;
+constexpr std::size_t max_services_a_route = 32;
 
 auto decay(Duration age, Duration time) -> double {
   return std::exp(-static_cast<double>(age.count()) / static_cast<double>(time.count()));
 }
 
-auto told_level(const std::vector<service_overload>& told, const std::string& service) -> double {
-  for (const auto& entry : told) {
+auto reported_level(const std::vector<service_overload>& reported, const std::string& service)
+    -> double {
+  for (const auto& entry : reported) {
     if (entry.service == service) {
       return entry.level.value;
     }
@@ -36,14 +40,14 @@
 
 }  // namespace
 
-void overload_below::on_answer(const std::string& route, const std::vector<service_overload>& told,
-                               TimePoint now) {
-  if (this->routes.size() >= most_routes && this->routes.count(route) == 0) {
+void overload_below::on_answer(const std::string& route,
+                               const std::vector<service_overload>& reported, TimePoint now) {
+  if (this->routes.size() >= max_routes && this->routes.count(route) == 0) {
     this->routes.clear();
   }
   auto& needed = this->routes[route];
-  for (const auto& entry : told) {
-    if (needed.size() < most_services || needed.count(entry.service) > 0) {
+  for (const auto& entry : reported) {
+    if (needed.size() < max_services_a_route || needed.count(entry.service) > 0) {
       needed[entry.service] = now;
     }
   }
@@ -52,19 +56,20 @@
       it = needed.erase(it);
       continue;
     }
-    this->note(it->first, told_level(told, it->first), now);
+    this->add_report(it->first, reported_level(reported, it->first), now);
     ++it;
   }
 }
 
-void overload_below::note(const std::string& service, double told, TimePoint now) {
-  if (this->levels.size() >= most_routes && this->levels.count(service) == 0) {
+void overload_below::add_report(const std::string& service, double level, TimePoint now) {
+  if (this->levels.size() >= max_services && this->levels.count(service) == 0) {
     this->levels.clear();
   }
-  auto& known = this->levels.emplace(service, smoothed{0, now - Duration(smoothing)}).first->second;
-  const double weight = 1 - decay(now - known.told, smoothing);
-  known.value += weight * (told - known.value);
-  known.told = now;
+  const auto initial = smoothed_level{0, now - Duration(level_smoothing_time)};
+  auto& known = this->levels.emplace(service, initial).first->second;
+  const double weight = 1 - decay(now - known.reported, level_smoothing_time);
+  known.value += weight * (level - known.value);
+  known.reported = now;
 }
 
 auto overload_below::of(const std::string& route, TimePoint now) const
@@ -74,13 +79,14 @@
   if (found == this->routes.end()) {
     return found_levels;
   }
-  for (const auto& [service, told] : found->second) {
+  for (const auto& [service, last_report] : found->second) {
     const auto known = this->levels.find(service);
     if (known == this->levels.end()) {
       continue;
     }
-    const double value = known->second.value * decay(now - known->second.told, remembered);
-    if (value >= least_level) {
+    const auto age = now - known->second.reported;
+    const double value = known->second.value * decay(age, unreported_decay_time);
+    if (value >= min_level) {
       found_levels.push_back({service, {value}});
     }
   }
@@ -103,7 +109,7 @@
 }
 
 auto shed_share(shed_level level, std::uint32_t less_urgent) -> double {
-  return std::clamp(level.value - less_urgent, 0.0, most_share);
+  return std::clamp(level.value - less_urgent, 0.0, max_shed_share);
 }
 
 }  // namespace ramppond
--- a/core/admission/overload_controller.cc
+++ b/core/admission/overload_controller.cc
@@ -6,32 +6,27 @@
 namespace ramppond {
 namespace {
 
-// Figures: share of the credit served in experiments/shed_level_model.py, first with
-// 1.4 times the load that a service bears, then with 2.8 times at once.
-
-// All slots taken and a queue that lasts for 0.4 of a pressing wait. With an empty
-// queue (1.0) servers are idle at times: 0.70 and 0.35 in place of 0.76 and 0.33;
-// with twice this queue (1.8) more trees lose a call: 0.76 and 0.28.
+// Pressure: all slots in use and a queue of 0.4 pressing waits. With a lower target slots are idle
+// at times; with a higher one more trees lose a call.
 constexpr double target_pressure = 1.4;
-constexpr auto smoothing = milliseconds(100);
-// Ranks for each unit of pressure beyond the target: at once, and for each second
-// that it lasts. The first part keeps the level from swinging (without it 0.74 and
-// 0.22); at 1.0 urgent trees suffer where the front learns of the level after 0.4 s
-// (0.79 of them complete in the test of late word, 0.86 with 0.8, 0.94 with 0.6 and
-// no wait beyond one). A faster second part (1.0) swings too: 0.76 and 0.33, but 0.68 in place of
-// 0.71 with one server left.
+// Shorter, single offers move the level; longer, a step of load is met late.
+constexpr auto pressure_smoothing_time = milliseconds(100);
+// Ranks for each unit of pressure beyond the target. Lower, the level swings; higher, a front that
+// learns of the level late keeps urgent trees away too.
 constexpr double proportional_gain = 0.8;
+// Ranks a second for each unit of pressure beyond the target. Higher, the level swings; lower, a
+// lasting overload is met late.
 constexpr double integral_gain = 0.3;
-// Requests are refused before they would wait much longer; up to there the level
-// tells how far the load is beyond what is served. With a bound of one pressing wait
-// a load that doubles within a moment is met too late: 0.77 and 0.22.
-constexpr double most_wait = 2;
-// No deployment described has more ranks; bounds the time to fall off.
-constexpr double most_ranks = 3;
-// An offer after a pause says nothing about the pause.
-constexpr auto longest_step = milliseconds(100);
-// Nobody asks any more, so nobody waits: the level falls off in this time.
-constexpr auto quiet_fall_time = milliseconds(500);
+// Waits beyond this many pressing waits count as this many. Lower, a load that doubles at once
+// looks like a small overload and the level rises too late.
+constexpr double max_pressing_waits = 2;
+// Bounds the integral part, and so the time until the level has fallen off after an overload. More
+// ranks than this can't be kept away.
+constexpr double max_ranks = 3;
+// Time that one offer stands for, at most: an offer after a pause says nothing about the pause.
+constexpr auto max_step = milliseconds(100);
+// Time constant of the decay while nothing is offered, and so nothing waits.
+constexpr auto idle_decay_time = milliseconds(500);
 
 auto ratio(Duration part, Duration whole) -> double {
   return static_cast<double>(part.count()) / static_cast<double>(whole.count());
@@ -42,9 +37,9 @@
     return std::min(1.0, offered.utilization);
   }
   if (offered.pressing_wait <= Duration(0)) {
-    return 1 + most_wait;
+    return 1 + max_pressing_waits;
   }
-  return 1 + std::min(most_wait, ratio(offered.wait, offered.pressing_wait));
+  return 1 + std::min(max_pressing_waits, ratio(offered.wait, offered.pressing_wait));
 }
 
 }  // namespace
@@ -53,29 +48,29 @@
   return this->pressure - target_pressure;
 }
 
-auto overload_controller::kept_since_last(TimePoint now) const -> double {
-  const auto quiet = now - this->last;
-  return quiet <= longest_step ? 1 : std::exp(-ratio(quiet - longest_step, quiet_fall_time));
+auto overload_controller::idle_decay(TimePoint now) const -> double {
+  const auto idle = now - this->last_offer;
+  return idle <= max_step ? 1 : std::exp(-ratio(idle - max_step, idle_decay_time));
 }
 
 void overload_controller::on_offer(const offered_load& offered, TimePoint now) {
-  if (this->last == TimePoint(0)) {
-    this->last = now;
+  if (this->last_offer == TimePoint(0)) {
+    this->last_offer = now;
   }
-  const double kept = this->kept_since_last(now);
-  const auto step = std::min<Duration>(now - this->last, longest_step);
+  const double kept = this->idle_decay(now);
+  const auto step = std::min<Duration>(now - this->last_offer, max_step);
   this->integral *= kept;
   this->pressure *= kept;
-  this->last = now;
-  const double weight = 1 - std::exp(-ratio(step, smoothing));
+  this->last_offer = now;
+  const double weight = 1 - std::exp(-ratio(step, pressure_smoothing_time));
   this->pressure += weight * (pressure_of(offered) - this->pressure);
   this->integral += integral_gain * this->excess() * ratio(step, seconds(1));
-  this->integral = std::clamp(this->integral, 0.0, most_ranks);
+  this->integral = std::clamp(this->integral, 0.0, max_ranks);
 }
 
 auto overload_controller::level(TimePoint now) const -> shed_level {
   const double wanted = this->integral + proportional_gain * this->excess();
-  return {std::clamp(wanted, 0.0, most_ranks) * this->kept_since_last(now)};
+  return {std::clamp(wanted, 0.0, max_ranks) * this->idle_decay(now)};
 }
 
 }  // namespace ramppond
--- a/core/admission/patience.h
+++ b/core/admission/patience.h
@@ -1,9 +1,13 @@
-// How long a request may wait for room at its server, as a share of its goal.
+// Decides how long a request may wait for a free slot at its server.
 //
-// A refusal is cheap only early, so a client's request that finds no room is
-// told soon. A call that is refused wastes what its tree has cost, so it may
-// wait longer; measured against how long a client's request may wait, its wait
-// still tells that the server is short of room.
+// Input: the goal of the request's route (microseconds, from arrival to answer) and whether a
+// server sent it (a call) or a client. Output: the longest wait, and the wait that the overload
+// controller counts as full pressure. Holds no state; any thread.
+//
+// A refusal helps a client only while there is time to try elsewhere, so a client's request is
+// refused early. A refused call wastes the work of its tree so far, so a call may wait longer. Both
+// kinds count against the client's bound as pressure, since a call that waits that long shows the
+// same lack of slots.
 #pragma once
 
 #include <cstdint>
@@ -12,9 +16,9 @@
 
 namespace ramppond {
 
-// Of the goal, for a client's request and for a server's call. A tree makes
-// several calls one after the other: a half (measured too) costs more trees
-// their goal than it saves.
+// The goal is divided by these. Smaller (longer waits): a tree makes several calls one after the
+// other, and their waits add up to more than the goal of its root. Larger: bursts that would drain
+// in time are refused.
 constexpr std::int64_t patience_divisor = 5;
 constexpr std::int64_t call_patience_divisor = 3;
 
@@ -22,8 +26,7 @@
   return goal / (is_call ? call_patience_divisor : patience_divisor);
 }
 
-/// The wait that means full pressure at the server, for a request with this
-/// patience.
+/// The wait that counts as full pressure at the server, for a request with this patience.
 constexpr auto pressing_wait(Duration patience, bool is_call) -> Duration {
   return is_call ? patience * call_patience_divisor / patience_divisor : patience;
 }
--- a/core/admission/server_admission.h
+++ b/core/admission/server_admission.h
@@ -1,42 +1,46 @@
-// Admission in front of one server: how many requests it works on, and who waits.
+// Decides when requests to one server are dispatched: at once, after a wait, or not at all.
 //
-// All requests to a server pass the daemon beside it, so the count is exact. A request is
-// dispatched while fewer than the limit are under way; otherwise it waits in order of rank, then of
-// the moment at which it would be done if it began at the end of its patience, for a bounded time.
-// So long requests do not take the slots of many short ones. A call says nothing of the rank of the
-// request that it serves, so clients' requests that are less urgent than calls wait beside them,
-// not behind: a client's request that the front let in is as much admitted work as a call. Nothing
-// is dispatched beyond the server's slots: some servers never answer what they cannot queue. Pure,
-// not thread safe.
+// Input: each request with its rank and patience (microseconds), how each dispatched request ended,
+// and the server's slots. Output: dispatch, wait or refuse; the order of those that wait; the load
+// that other proxies learn of (service time, share of failed requests, shed level). Owns the count
+// of requests under way and the queue. Relies on seeing every request to the server, which holds
+// since only the proxy beside a server can reach it. Pure, not thread safe.
+//
+// Requests are dispatched while fewer than the limit are under way. Nothing is dispatched beyond
+// it: some servers never answer what they can't queue. Others wait in order of rank, then of the
+// time at which they are due: the end of their patience plus their service time, so that long
+// requests don't take the slots of many short ones. A call says nothing about the rank of the
+// client request that it serves, so a client's request is ranked no lower than the most urgent call
+// of late: it was admitted at the front, and it would starve behind the calls of others.
 #pragma once
 
 #include <cstdint>
 #include <map>
 #include <optional>
-#include <string>
 #include <tuple>
 #include <vector>
 
 #include "core/admission/overload_controller.h"
+#include "core/admission/service_times.h"
 #include "core/time.h"
 
 namespace ramppond {
 
-/// Names one request; chosen by the caller, never reused.
+/// Identifies one request; chosen by the caller, never reused.
 using AdmissionId = std::uint64_t;
 
 /// How a dispatched request ended.
 enum class ServerOutcome : std::uint8_t {
-  kAnswered,   ///< By a success or a failure that is the client's.
-  kFailed,     ///< By an error of the server's own.
-  kDeadline,   ///< By the server's word that the request's time was over.
-  kNotRun,     ///< The server turned it away.
-  kLost,       ///< The connection ended before the answer did.
-  kNoAnswer,   ///< Nothing came until the request's time was over, or no connection could be had.
-  kWithdrawn,  ///< The caller lost interest, or it never reached the server.
+  kAnswered,   ///< With a success, or with an error that the client caused.
+  kFailed,     ///< With an error that the server caused.
+  kDeadline,   ///< The server answered that the request's deadline had passed.
+  kNotRun,     ///< The server answered that it did not run the request.
+  kLost,       ///< The connection closed before the answer came.
+  kNoAnswer,   ///< No answer before the deadline, or no connection to the server.
+  kWithdrawn,  ///< The caller gave up, or the request was never sent to the server.
 };
 
-/// Whether the server did the request, so that its time tells of its speed.
+/// Whether the server worked on the request to its end, so that the time taken shows its speed.
 inline bool isWork(ServerOutcome outcome) {
   return outcome == ServerOutcome::kAnswered || outcome == ServerOutcome::kDeadline;
 }
@@ -47,53 +51,45 @@
   AdmissionId id = 0;
   std::uint32_t priority = 0;  ///< 0 is the most urgent.
   Duration patience{0};        ///< The longest that it may wait.
-  Duration pressing_wait{0};   ///< A wait that means full pressure; see core/admission/patience.h.
-  bool is_call = false;        ///< Of a server, or may be one.
-  /// How long the server takes for requests of its route; one that is not known counts as short.
+  Duration pressing_wait{0};  ///< The wait that counts as full pressure; core/admission/patience.h.
+  bool is_call = false;       ///< Sent by a server, or its origin is not known.
+  /// The server's time for requests of its route; unknown counts as 0.
   std::optional<Duration> service_time = std::nullopt;
 };
 
-struct AdmissionCounters {
-  std::uint64_t dispatched = 0;
-  std::uint64_t waited = 0;
-  std::uint64_t refused_full = 0;
-  std::uint64_t refused_late = 0;
-};
-
 class ServerAdmission {
  public:
-  /// `slots` as the server tells, and the connections that it accepts from all callers; 0 for
-  /// unknown. Each request under way holds one connection.
+  /// `slots` as the server reports them; `max_connections` that it accepts from all callers, 0 for
+  /// unknown. Each request under way holds one connection. Before the first call the limit is 1.
   void setSlots(std::uint32_t slots, std::uint32_t max_connections = 0);
   AdmissionVerdict offer(const AdmissionRequest& request, TimePoint now);
   /// A request that was dispatched at `begun` has ended.
   void onFinished(TimePoint begun, ServerOutcome outcome, TimePoint now);
-  /// Share of recent requests that the server failed, turned away or left without an answer, in
-  /// thousandths.
-  [[nodiscard]] std::uint32_t failedPermille() const;
-  /// A waiting request was withdrawn by its caller.
+  /// Removes a waiting request; ignored if it does not wait.
   void withdraw(AdmissionId id);
-  /// The next waiting request that may be dispatched now; counts as dispatched.
+  /// The next waiting request, if the server has a free slot; it counts as dispatched.
   std::optional<AdmissionId> takeDispatchable(TimePoint now);
-  /// Waiting requests whose patience has ended; they are no longer waiting.
+  /// Removes and returns the waiting requests whose patience has ended.
   std::vector<AdmissionId> takeExpired(TimePoint now);
-  /// When takeExpired() may next give something.
+  /// When takeExpired() may next return a request.
   [[nodiscard]] std::optional<TimePoint> nextExpiry() const;
 
-  [[nodiscard]] std::size_t underWay() const { return under_way_; }
+  [[nodiscard]] std::size_t underWay() const {
+    return static_cast<std::size_t>(service_time_.under_way());
+  }
   [[nodiscard]] std::size_t waiting() const { return waiting_.size(); }
+  /// Requests that may be under way at a time.
   [[nodiscard]] std::uint32_t limit() const { return limit_; }
-  /// Mean time that the server takes for a request: smoothed over those that it did, or the mean
-  /// age of those under way if that is longer. A server that turns slow shows at once that way; one
-  /// that fails at once does not look fast.
+  /// Time that the server takes for a request, over all routes; see service_time_estimate.
   [[nodiscard]] Duration serviceTime(TimePoint now) const;
-  /// How long a new request would wait at the present rate.
-  [[nodiscard]] Duration expectedWait() const;
-  /// How much less work is to be begun for this server.
+  /// Smoothed share of requests that the server failed, did not run or left without an answer, in
+  /// thousandths.
+  [[nodiscard]] std::uint32_t failedPermille() const;
+  /// Work that the front is to keep away from this server.
   [[nodiscard]] shed_level shedLevel(TimePoint now) const { return overload_.level(now); }
-  [[nodiscard]] const AdmissionCounters& counters() const { return counters_; }
 
  private:
+  /// A place in the queue; smaller ones are dispatched first.
   struct Position {
     std::uint32_t rank = 0;
     TimePoint due{0};
@@ -104,25 +100,26 @@
   };
   struct Waiting {
     AdmissionId id = 0;
-    TimePoint until{0};
+    TimePoint until{0};  ///< End of its patience.
   };
+  // Until requests were done.
+  static constexpr Duration kInitialServiceTime = milliseconds(50);
+
   [[nodiscard]] double utilization() const;
-  void noteCall(std::uint32_t priority, TimePoint now);
-  [[nodiscard]] std::uint32_t rankOf(const AdmissionRequest& request) const;
-  [[nodiscard]] std::size_t waitingBefore(const Position& position) const;
+  void noteCallPriority(std::uint32_t priority, TimePoint now);
+  Position positionOf(const AdmissionRequest& request, TimePoint now);
+  /// How long a request at `position` would wait at the present service time.
+  [[nodiscard]] Duration expectedWait(const Position& position) const;
 
   std::uint32_t limit_ = 1;
-  std::size_t under_way_ = 0;
   std::uint64_t arrivals_ = 0;
-  std::optional<std::uint32_t> most_urgent_call_;  ///< Priority among calls of late.
+  std::optional<std::uint32_t> most_urgent_call_;  ///< Priority of the most urgent recent call.
   TimePoint most_urgent_call_seen_{0};
   std::map<Position, Waiting> waiting_;
   std::map<AdmissionId, Position> positions_;
-  Duration service_time_ = milliseconds(50);
-  double failed_ = 0;  ///< Smoothed share.
+  service_time_estimate service_time_{kInitialServiceTime};
+  double failed_share_ = 0;  ///< Smoothed, 0 to 1.
   overload_controller overload_;
-  Duration begun_sum_{0};  ///< Sum of the times at which those under way were dispatched.
-  AdmissionCounters counters_;
 };
 
 }  // namespace ramppond
--- a/core/admission/service_times.cc
+++ b/core/admission/service_times.cc
@@ -6,47 +6,55 @@
 namespace {
 
 // The inverse of one request's weight in the smoothed time.
-constexpr std::int64_t smoothing = 16;
-// More routes to one service than described; others are taken to be ordinary.
-constexpr std::size_t most_routes = 256;
+constexpr std::int64_t smoothing_divisor = 16;
+// Bounds memory; times of further routes stay unknown.
+constexpr std::size_t max_routes = 256;
 
 }  // namespace
 
-void service_times::on_begun(const std::string& route, TimePoint now) {
-  if (this->routes.size() >= most_routes && this->routes.count(route) == 0) {
-    return;
-  }
-  auto& entry = this->routes[route];
-  ++entry.under_way;
-  entry.begun_sum += now;
+void service_time_estimate::on_begun(TimePoint now) {
+  ++this->begun_count;
+  this->begun_sum += now;
 }
 
-void service_times::on_ended(const std::string& route, TimePoint begun, bool done, TimePoint now) {
-  const auto found = this->routes.find(route);
-  if (found == this->routes.end() || found->second.under_way == 0) {
+void service_time_estimate::on_ended(TimePoint begun, bool done, TimePoint now) {
+  if (this->begun_count == 0) {
     return;
   }
-  auto& entry = found->second;
-  --entry.under_way;
-  entry.begun_sum -= begun;
+  --this->begun_count;
+  this->begun_sum -= begun;
   if (!done) {
     return;
   }
   const auto time = now - begun;
-  const auto before = entry.smoothed.value_or(time);
-  entry.smoothed = before + (time - before) / smoothing;
+  const auto before = this->smoothed_time.value_or(time);
+  this->smoothed_time = before + (time - before) / smoothing_divisor;
 }
 
-auto service_times::of(const std::string& route, TimePoint now) const -> std::optional<Duration> {
-  const auto found = this->routes.find(route);
-  if (found == this->routes.end() || !found->second.smoothed) {
-    return std::nullopt;
+auto service_time_estimate::current(TimePoint now) const -> std::optional<Duration> {
+  if (!this->smoothed_time || this->begun_count == 0) {
+    return this->smoothed_time;
+  }
+  return std::max(*this->smoothed_time, now - this->begun_sum / this->begun_count);
+}
+
+void service_times::on_begun(const std::string& route, TimePoint now) {
+  if (this->routes.size() >= max_routes && this->routes.count(route) == 0) {
+    return;
   }
-  const auto& entry = found->second;
-  if (entry.under_way == 0) {
-    return entry.smoothed;
+  this->routes[route].on_begun(now);
+}
+
+void service_times::on_ended(const std::string& route, TimePoint begun, bool done, TimePoint now) {
+  const auto found = this->routes.find(route);
+  if (found != this->routes.end()) {
+    found->second.on_ended(begun, done, now);
   }
-  return std::max(*entry.smoothed, now - entry.begun_sum / entry.under_way);
+}
+
+auto service_times::of(const std::string& route, TimePoint now) const -> std::optional<Duration> {
+  const auto found = this->routes.find(route);
+  return found == this->routes.end() ? std::nullopt : found->second.current(now);
 }
 
 }  // namespace ramppond
--- a/tests/core/admission/circuit_breaker_test.cc
+++ b/tests/core/admission/circuit_breaker_test.cc
@@ -61,7 +61,7 @@
   EXPECT_TRUE(this->breaker.admit(false, this->now + milliseconds(170)));
 }
 
-TEST_F(open_breaker, prefers_a_repeatable_request_as_the_one_that_tries) {
+TEST_F(open_breaker, prefers_a_retryable_request_as_probe) {
   EXPECT_FALSE(this->breaker.admit(false, this->now + milliseconds(300)));
   EXPECT_TRUE(this->breaker.admit(false, this->now + milliseconds(650)));
 }
--- a/tests/core/admission/overload_below_test.cc
+++ b/tests/core/admission/overload_below_test.cc
@@ -9,10 +9,10 @@
 
 class overload_below_test : public testing::Test {
  protected:
-  void answers(const std::string& route, const std::vector<service_overload>& told, int count) {
+  void answers(const std::string& route, const std::vector<service_overload>& reported, int count) {
     for (int i = 0; i < count; ++i) {
       this->now += milliseconds(20);
-      this->below.on_answer(route, told, this->now);
+      this->below.on_answer(route, reported, this->now);
     }
   }
   [[nodiscard]] auto level(const std::string& route, const std::string& service) const -> double {
@@ -41,7 +41,7 @@
   EXPECT_LT(this->level("fetch", "records"), 0.2);
 }
 
-TEST_F(overload_below_test, a_service_that_is_told_no_more_is_forgotten) {
+TEST_F(overload_below_test, a_service_that_is_not_reported_any_more_is_forgotten) {
   this->answers("fetch", {{"records", {1}}}, 50);
   this->answers("fetch", {}, 50);
   EXPECT_EQ(this->level("fetch", "records"), 0);
--- a/tests/core/admission/tree_shedding_test.cc
+++ b/tests/core/admission/tree_shedding_test.cc
@@ -39,12 +39,12 @@
 /// One run of a scarce service under trees of two kinds.
 class tree_run {
  public:
-  /// `word_delay`: from an answer of the scarce server to the moment at which the front knows the
+  /// `report_delay`: from an answer of the scarce server to the moment at which the front knows the
   /// level that came with it.
-  tree_run(std::vector<kind_of_tree> kinds, bool shedding, Duration word_delay)
+  tree_run(std::vector<kind_of_tree> kinds, bool shedding, Duration report_delay)
       : kinds(std::move(kinds)),
         shedding(shedding),
-        word_delay(word_delay),
+        report_delay(report_delay),
         counts(this->kinds.size()) {
     this->admission.setSlots(slots);
   }
@@ -134,7 +134,7 @@
 
   void on_answer(std::size_t kind) {
     const auto level = this->admission.shedLevel(this->now);
-    this->after(this->word_delay, [this, kind, level] {
+    this->after(this->report_delay, [this, kind, level] {
       this->below.on_answer(this->kinds[kind].name, {{"scarce", level}}, this->now);
     });
   }
@@ -149,7 +149,7 @@
 
   std::vector<kind_of_tree> kinds;
   bool shedding;
-  Duration word_delay;
+  Duration report_delay;
   std::vector<tree_counts> counts;
   ServerAdmission admission;
   overload_below below;
@@ -167,7 +167,7 @@
   double other_per_second;
   double least_urgent_complete;  // with shedding, as a share
   double least_other_complete;
-  Duration word_delay{0};
+  Duration report_delay{0};
 };
 
 // Keeps the name of a test the same in every run.
@@ -185,7 +185,7 @@
     const auto& load = GetParam();
     auto run = tree_run(
         {{"urgent", 0, 1, 8, load.urgent_per_second}, {"other", 2, 0, 4, load.other_per_second}},
-        shedding, load.word_delay);
+        shedding, load.report_delay);
     return run.play();
   }
 };
