--- a/core/placement/instance_directory.cc
+++ b/core/placement/instance_directory.cc
@@ -6,45 +6,61 @@
 namespace ramppond {
 namespace {
 
-// What an idle server costs against a full one: the weight of speed and zone at low load.
+// Costs have no unit. An idle server costs this, one with all slots in use 1 more. Lower, speed and
+// zone hardly count while servers are idle; higher, utilization hardly counts.
 constexpr double kIdleCost = 0.3;
-// A server of the own zone costs this part of what it would cost elsewhere, since bytes between
-// zones have a price. A request that finds no room costs far more: between these utilizations the
-// rebate shrinks to its rest. What is left makes up for a wait that is a fifth of a service time
-// longer; beyond that a request goes to another zone.
-constexpr double kOwnZoneRebate = 0.6;
-constexpr double kOwnZoneRebateWhenFull = 0.85;
-constexpr double kRebateShrinksFrom = 0.5;
-constexpr double kRebateShrunkAt = 0.9;
-// Servers of one service differ by this much in speed on an ordinary day; what is slower than that
-// is slow for a reason.
+// A server of the own zone costs this share of what it would cost elsewhere, since bytes between
+// zones have a price. Lower, the own zone fills up while others have room; higher, more requests
+// leave it without need.
+constexpr double kOwnZoneFactor = 0.6;
+// The same once the server is nearly full, since a request that finds no free slot costs far more
+// than its bytes. Lower, requests are refused in one zone while another has room; at 1, equally
+// full zones exchange requests without gain.
+constexpr double kOwnZoneFactorWhenFull = 0.85;
+// Utilizations between which the factor moves from the first to the second.
+constexpr double kOwnZoneFactorRisesFrom = 0.5;
+constexpr double kOwnZoneFactorRisenAt = 0.9;
+// Servers of one service differ by this ratio of service times on an ordinary day. Lower, ordinary
+// differences drive requests out of the zone; higher, a server that has turned slow keeps its own.
 constexpr double kOrdinarySpeedRatio = 2.5;
-constexpr Duration kLoadRemembered = seconds(2);
-// These set an order among servers that are all unfit in some way.
+// A report of a server's load counts for this time. Longer, a server that was slow gets no request
+// that could show that it has recovered; shorter, little is known of servers that get few requests.
+constexpr Duration kLoadReportValid = seconds(2);
+// Costs of servers that are chosen only if no other is left, in this order of preference. They
+// exceed each other and all costs of ordinary load.
 constexpr double kRefusedCost = 10;
 constexpr double kStoppingCost = 50;
 constexpr double kUnreachableCost = 100;
-// A server that fails a quarter of its requests costs as much as one that is twice as full: most of
-// its requests go elsewhere while others have room. Only what it fails beyond the median of its
-// service counts: calls that all of them make may fail too.
-constexpr double kFailedWeight = 8;
-constexpr double kThousand = 1000;
-// Equals are taken in turn.
+// Cost factor for each unit of failed share beyond the median of the service: a server that fails a
+// quarter of its requests more than others costs three times as much. Lower, it keeps its share of
+// requests; higher, a few chance failures take a server out.
+constexpr double kFailedShareWeight = 8;
+constexpr double kThousandths = 1000;
+// Largest random addition to a cost, so that equals are taken in turn. Larger, it hides
+// differences.
 constexpr double kTieBreak = 0.02;
+// A server that refused a request for lack of room is asked after others for this time. Shorter,
+// the next requests are refused too; longer, a server with room is left idle.
 constexpr Duration kRefusalRemembered = milliseconds(100);
+// A server that takes nothing more is passed over for this time, in case its refusal was older than
+// the record that is held. Longer, a late refusal takes a ready server out.
 constexpr Duration kFenceRemembered = milliseconds(1000);
-constexpr Duration kFirstUnreachable = milliseconds(200);
-constexpr std::uint32_t kMaximumDoublings = 4;
-// Without word from its daemon a server is taken to have this many slots usable.
-constexpr double kAssumedLimit = 8;
-// Of one service that one daemon sends requests on.
-constexpr std::size_t kMostRoutes = 64;
+// A proxy that could not be connected to is the last choice for this time, doubled with each
+// further failure in a row. Shorter, more requests wait for connections that fail; longer, a proxy
+// that is back is left idle.
+constexpr Duration kFirstUnreachablePause = milliseconds(200);
+constexpr std::uint32_t kMaximumPauseDoublings = 4;
+// Slots that a server is taken to have at least before its load was reported.
+constexpr double kAssumedSlots = 8;
+// Bounds memory: routes with a known service time at one server.
+constexpr std::size_t kMaximumRoutes = 64;
 
-// What part of its cost a server of the own zone costs.
-double ownZoneRebate(double utilization) {
-  const double beyond = (utilization - kRebateShrinksFrom) / (kRebateShrunkAt - kRebateShrinksFrom);
-  const double shrunk = std::clamp(beyond, 0.0, 1.0);
-  return kOwnZoneRebate + (kOwnZoneRebateWhenFull - kOwnZoneRebate) * shrunk;
+// The share of its cost that a server of the own zone has at this utilization.
+double ownZoneFactor(double utilization) {
+  const double beyond =
+      (utilization - kOwnZoneFactorRisesFrom) / (kOwnZoneFactorRisenAt - kOwnZoneFactorRisesFrom);
+  const double risen = std::clamp(beyond, 0.0, 1.0);
+  return kOwnZoneFactor + (kOwnZoneFactorWhenFull - kOwnZoneFactor) * risen;
 }
 
 }  // namespace
@@ -53,30 +69,35 @@
     : options_(std::move(options)), random_(options_.random_seed) {}
 
 bool InstanceDirectory::offer(const InstanceRecord& record) {
-  KnownInstance& known = by_daemon_[record.daemon_address];
+  KnownInstance& known = by_proxy_[record.daemon_address];
   const bool first = known.record.daemon_address.empty();
   if (!first && !record.isNewerThan(known.record)) {
     return false;
   }
-  const bool started_anew = !first && known.record.incarnation != record.incarnation;
+  const bool proxy_restarted = !first && known.record.incarnation != record.incarnation;
+  const bool other_server = known.record.instance_id != record.instance_id;
   if (known.record.service != record.service) {
-    auto& former = by_service_[known.record.service];
-    former.erase(std::remove(former.begin(), former.end(), &known), former.end());
-    by_service_[record.service].push_back(&known);
+    moveToService(known, record.service);
   }
-  if (known.record.instance_id != record.instance_id) {
+  if (other_server) {
     known.load = ServerLoad{};
     known.service_times.clear();
     known.refused_until = TimePoint(0);
   }
-  if (started_anew) {
+  if (proxy_restarted) {
     known.liveness = peer_liveness();
   }
   known.fenced_until = TimePoint(0);
   known.failures = 0;
   known.unreachable_until = TimePoint(0);
   known.record = record;
-  return started_anew;
+  return proxy_restarted;
+}
+
+void InstanceDirectory::moveToService(KnownInstance& instance, const std::string& service) {
+  auto& former = by_service_[instance.record.service];
+  former.erase(std::remove(former.begin(), former.end(), &instance), former.end());
+  by_service_[service].push_back(&instance);
 }
 
 bool InstanceDirectory::usable(const KnownInstance& instance, const std::string& service,
@@ -87,11 +108,6 @@
          excluded.count(instance.record.daemon_address) == 0;
 }
 
-bool InstanceDirectory::hasInstances(const std::string& service) const {
-  const auto found = by_service_.find(service);
-  return found != by_service_.end() && !found->second.empty();
-}
-
 std::vector<std::string> InstanceDirectory::daemonsOf(const std::string& service) const {
   std::vector<std::string> daemons;
   const auto found = by_service_.find(service);
@@ -107,23 +123,23 @@
 }
 
 double InstanceDirectory::utilization(const KnownInstance& instance) {
-  const double told = instance.load.limit;
-  const double limit = told > 0 ? told : std::max<double>(instance.record.slots, kAssumedLimit);
-  const double busy = instance.load.under_way + instance.load.waiting + instance.sent_since;
+  const double reported = instance.load.limit;
+  const double limit =
+      reported > 0 ? reported : std::max<double>(instance.record.slots, kAssumedSlots);
+  const double busy = instance.load.under_way + instance.load.waiting + instance.sent_since_report;
   return (std::max<double>(busy, instance.sent) + 1) / limit;
 }
 
-bool InstanceDirectory::toldRecently(const KnownInstance& instance, TimePoint now) {
-  return instance.load.limit > 0 && now - instance.load_told < kLoadRemembered;
+bool InstanceDirectory::hasRecentLoad(const KnownInstance& instance, TimePoint now) {
+  return instance.load.limit > 0 && now - instance.load_reported < kLoadReportValid;
 }
 
-// Nothing once it is old: a server that was slow gets a request again and tells how it does now.
 std::optional<Duration> InstanceDirectory::recentServiceTime(const KnownInstance& instance,
                                                              const std::string& route,
                                                              TimePoint now) {
   const auto found = instance.service_times.find(route);
   const bool recent =
-      found != instance.service_times.end() && now - found->second.told < kLoadRemembered;
+      found != instance.service_times.end() && now - found->second.reported < kLoadReportValid;
   return recent ? std::optional<Duration>(found->second.time) : std::nullopt;
 }
 
@@ -136,7 +152,7 @@
     if (service_time) {
       baseline.fastest = std::min(baseline.fastest.value_or(*service_time), *service_time);
     }
-    if (toldRecently(*instance, now)) {
+    if (hasRecentLoad(*instance, now)) {
       failed_.push_back(instance->load.failed_permille);
     }
   }
@@ -148,24 +164,35 @@
   return baseline;
 }
 
+double InstanceDirectory::slowness(const KnownInstance& instance, const std::string& route,
+                                   const ServiceBaseline& baseline, TimePoint now) {
+  const auto service_time = recentServiceTime(instance, route, now);
+  if (!service_time || !baseline.fastest || *baseline.fastest <= Duration(0)) {
+    return 1;
+  }
+  return static_cast<double>(service_time->count()) /
+         static_cast<double>(baseline.fastest->count());
+}
+
+double InstanceDirectory::failureFactor(const KnownInstance& instance,
+                                        const ServiceBaseline& baseline, TimePoint now) {
+  const std::uint32_t failed = instance.load.failed_permille;
+  const std::uint32_t ordinary = baseline.median_failed_permille;
+  if (failed <= ordinary || !hasRecentLoad(instance, now)) {
+    return 1;
+  }
+  return 1 + kFailedShareWeight * (failed - ordinary) / kThousandths;
+}
+
 double InstanceDirectory::cost(const KnownInstance& instance, const std::string& route,
                                const ServiceBaseline& baseline, TimePoint now) {
-  const auto service_time = recentServiceTime(instance, route, now);
   const double utilized = utilization(instance);
-  double slowness = 1;
-  if (service_time && baseline.fastest && *baseline.fastest > Duration(0)) {
-    slowness =
-        static_cast<double>(service_time->count()) / static_cast<double>(baseline.fastest->count());
-  }
+  const double slower = slowness(instance, route, baseline, now);
   double cost = kIdleCost + std::min(utilized, 1.0);
-  cost *= std::max(1.0, slowness / kOrdinarySpeedRatio);
-  cost *= instance.record.zone == options_.zone ? ownZoneRebate(utilized) : 1.0;
-  cost += std::max(utilized - 1, 0.0) * slowness;
-  const bool fails_more = instance.load.failed_permille > baseline.median_failed_permille;
-  if (fails_more && toldRecently(instance, now)) {
-    const std::uint32_t excess = instance.load.failed_permille - baseline.median_failed_permille;
-    cost *= 1 + kFailedWeight * excess / kThousand;
-  }
+  cost *= std::max(1.0, slower / kOrdinarySpeedRatio);
+  cost *= instance.record.zone == options_.zone ? ownZoneFactor(utilized) : 1.0;
+  cost += std::max(utilized - 1, 0.0) * slower;
+  cost *= failureFactor(instance, baseline, now);
   cost += instance.refused_until > now ? kRefusedCost : 0;
   cost += instance.record.state == InstanceState::kStopping ? kStoppingCost : 0;
   const bool unreachable = instance.unreachable_until > now || instance.liveness.is_silent();
@@ -200,7 +227,7 @@
 
 void InstanceDirectory::onSent(KnownInstance& instance, TimePoint now) {
   instance.sent += 1;
-  instance.sent_since += 1;
+  instance.sent_since_report += 1;
   instance.liveness.on_sent(now);
   watch(instance);
 }
@@ -215,12 +242,13 @@
 void InstanceDirectory::onLoad(KnownInstance& instance, const std::string& route,
                                const ServerLoad& load, TimePoint now) {
   const bool known = instance.service_times.count(route) > 0;
-  if (load.service_time > Duration(0) && (known || instance.service_times.size() < kMostRoutes)) {
+  if (load.service_time > Duration(0) &&
+      (known || instance.service_times.size() < kMaximumRoutes)) {
     instance.service_times[route] = {load.service_time, now};
   }
   instance.load = load;
-  instance.load_told = now;
-  instance.sent_since = 0;
+  instance.load_reported = now;
+  instance.sent_since_report = 0;
 }
 
 void InstanceDirectory::onRefused(KnownInstance& instance, TimePoint now) {
@@ -228,9 +256,9 @@
 }
 
 void InstanceDirectory::onUnreachable(KnownInstance& instance, TimePoint now) {
-  const std::uint32_t doublings = std::min(instance.failures, kMaximumDoublings);
+  const std::uint32_t doublings = std::min(instance.failures, kMaximumPauseDoublings);
   instance.failures += 1;
-  instance.unreachable_until = now + kFirstUnreachable * (std::int64_t{1} << doublings);
+  instance.unreachable_until = now + kFirstUnreachablePause * (std::int64_t{1} << doublings);
 }
 
 void InstanceDirectory::onReached(KnownInstance& instance, TimePoint now) {
--- a/core/placement/instance_directory.h
+++ b/core/placement/instance_directory.h
@@ -1,9 +1,15 @@
-// The servers that a daemon may send requests to, and the choice among them.
+// Decides which server of a service the next attempt of a request is sent to.
 //
-// Knows what the registry tells, what answers tell of each server's load, and which daemons could
-// not be reached. Each server has a cost that grows with its utilization and, beyond the ordinary
-// difference in speed, with its service time; the own zone has a rebate while it has room, since
-// bytes between zones cost. The cheapest is taken. Pure, not thread safe.
+// Input: the records of all servers, the load that answers report, own requests under way, and
+// which proxies refused, could not be reached or fell silent (times in microseconds). Output: the
+// server with the lowest cost, and which proxies to ping. Owns one KnownInstance for each proxy
+// that a record came from. Pure, not thread safe.
+//
+// A server's cost grows with its utilization and, beyond ordinary differences in speed, with its
+// service time for the route. Servers of the own zone are cheaper while they have free slots, since
+// bytes between zones have a price. Servers that fail more than others of their service cost more;
+// unreachable ones are chosen only if no other is left. Health checks are not used: they cost a
+// slot, and a failing server may answer them well.
 #pragma once
 
 #include <cstdint>
@@ -21,33 +27,33 @@
 
 namespace ramppond {
 
-/// What the daemon beside a server tells of its load with each answer.
+/// The load of a server, as the proxy beside it reports with each answer.
 struct ServerLoad {
-  std::uint32_t limit = 0;      ///< Requests that it lets the server work on at a time.
-  std::uint32_t under_way = 0;  ///< Requests that the server works on.
-  std::uint32_t waiting = 0;
-  Duration service_time{0};           ///< For requests of the route that asked; 0 for unknown.
-  std::uint32_t failed_permille = 0;  ///< Recent requests that it failed or left unanswered.
-  shed_level shed = {};               ///< How much less work is to be begun for it.
+  std::uint32_t limit = 0;            ///< Requests that the proxy dispatches to it at a time.
+  std::uint32_t under_way = 0;        ///< Requests that the server works on.
+  std::uint32_t waiting = 0;          ///< Requests that wait for a slot.
+  Duration service_time{0};           ///< For requests of the answered route; 0 for unknown.
+  std::uint32_t failed_permille = 0;  ///< Share of recent requests failed or left unanswered.
+  shed_level shed = {};               ///< Work to keep away from it.
 };
 
 /// A server as the directory knows it. Pointers stay valid for the life of the directory.
 struct KnownInstance {
   InstanceRecord record;
   ServerLoad load;
-  TimePoint load_told{0};
-  struct ToldTime {
+  TimePoint load_reported{0};
+  struct ReportedTime {
     Duration time{0};
-    TimePoint told{0};
+    TimePoint reported{0};
   };
-  std::map<std::string, ToldTime> service_times;  ///< By route.
-  std::uint32_t sent = 0;                         ///< Own requests under way to it.
-  std::uint32_t sent_since = 0;  ///< Own requests sent since it last told its load.
-  std::uint32_t failures = 0;    ///< Connections that failed in a row.
+  std::map<std::string, ReportedTime> service_times;  ///< By route.
+  std::uint32_t sent = 0;                             ///< Own requests under way to it.
+  std::uint32_t sent_since_report = 0;  ///< Own requests sent since its load was reported.
+  std::uint32_t failures = 0;           ///< Connections that failed in a row.
   TimePoint unreachable_until{0};
-  TimePoint refused_until{0};  ///< It refused lately; others are asked first.
-  TimePoint fenced_until{0};   ///< It said that it takes nothing more.
-  peer_liveness liveness;      ///< Of its daemon.
+  TimePoint refused_until{0};  ///< It refused a request lately; others are asked first.
+  TimePoint fenced_until{0};   ///< It takes no requests any more, as its proxy answered.
+  peer_liveness liveness;      ///< Of its proxy.
 };
 
 struct InstanceDirectoryOptions {
@@ -59,56 +65,68 @@
  public:
   explicit InstanceDirectory(InstanceDirectoryOptions options);
 
-  /// Takes over a record that is newer than the one held. Returns whether its daemon has started
-  /// anew since: connections to the former process are of no use.
+  /// Takes over a record that is newer than the one held. Returns whether the proxy that wrote it
+  /// has restarted since: connections to its former process are of no use.
   bool offer(const InstanceRecord& record);
-  /// A ready server of `service` for a request of `route` whose daemon is not in `excluded`, or
-  /// nullptr.
+  /// The ready server of `service` with the lowest cost for a request of `route`. Passes over the
+  /// proxies in `excluded`; nullptr if no server is left.
   KnownInstance* choose(const std::string& service, const std::string& route,
                         const std::set<std::string>& excluded, TimePoint now);
-  /// Daemons of which there is a record.
-  [[nodiscard]] std::size_t size() const { return by_daemon_.size(); }
-  /// The daemons beside ready servers of `service`.
+  /// Number of proxies that a record came from.
+  [[nodiscard]] std::size_t size() const { return by_proxy_.size(); }
+  /// The proxies beside ready servers of `service`.
   [[nodiscard]] std::vector<std::string> daemonsOf(const std::string& service) const;
-  [[nodiscard]] bool hasInstances(const std::string& service) const;
 
+  /// A request was sent to it.
   void onSent(KnownInstance& instance, TimePoint now);
+  /// A request sent to it has ended in some way.
   void onEnded(KnownInstance& instance);
-  /// Told with the answer to a request of `route`.
+  /// An answer to a request of `route` reported its load.
   void onLoad(KnownInstance& instance, const std::string& route, const ServerLoad& load,
               TimePoint now);
+  /// Its proxy refused a request for lack of room.
   void onRefused(KnownInstance& instance, TimePoint now);
+  /// A connection to its proxy failed.
   void onUnreachable(KnownInstance& instance, TimePoint now);
-  /// A request sent to it was answered, by its server or by its daemon.
+  /// A request sent to it was answered, by the server or by its proxy.
   void onReached(KnownInstance& instance, TimePoint now);
   void onPingAnswered(KnownInstance& instance, TimePoint now);
-  /// Those whose daemons are to be pinged, and those that have just fallen silent.
   struct LivenessChanges {
-    std::vector<KnownInstance*> to_ping;
-    std::vector<KnownInstance*> silent;
+    std::vector<KnownInstance*> to_ping;  ///< Their proxies are to be pinged.
+    std::vector<KnownInstance*> silent;   ///< Their proxies have just become silent.
   };
-  /// To be called every 100 ms or so. Looks at daemons with requests under way and at silent ones
-  /// only: a few, however many are known.
+  /// To be called about every 100 ms. Looks only at proxies with requests under way and at silent
+  /// ones.
   LivenessChanges checkLiveness(TimePoint now);
-  /// The daemons that checkLiveness() looks at.
+  /// Number of proxies that checkLiveness() looks at.
   [[nodiscard]] std::size_t watched() const { return watched_.size(); }
-  /// The daemon said that this instance takes nothing more. Passed over until a newer record comes
-  /// or some time has passed: what was said may be older than the record that is held.
+  /// Its proxy answered that the server takes no requests any more. It is passed over until a newer
+  /// record comes or a second has passed, since the answer may be older than the record held.
   void onFenced(KnownInstance& instance, TimePoint now);
 
  private:
   void watch(KnownInstance& instance);
+  void moveToService(KnownInstance& instance, const std::string& service);
+  /// Requests at the server, the next one included, as a share of its limit; may exceed 1.
   [[nodiscard]] static double utilization(const KnownInstance& instance);
-  [[nodiscard]] static bool toldRecently(const KnownInstance& instance, TimePoint now);
+  [[nodiscard]] static bool hasRecentLoad(const KnownInstance& instance, TimePoint now);
+  /// Nothing if it was reported too long ago.
   [[nodiscard]] static std::optional<Duration> recentServiceTime(const KnownInstance& instance,
                                                                  const std::string& route,
                                                                  TimePoint now);
-  /// What is ordinary among the servers of one service that told their load lately.
+  /// What is ordinary among the servers of one service whose load was reported lately.
   struct ServiceBaseline {
     std::optional<Duration> fastest;           ///< The shortest service time.
     std::uint32_t median_failed_permille = 0;  ///< The lower median.
   };
   ServiceBaseline baselineOfCandidates(const std::string& route, TimePoint now);
+  /// Service time as a multiple of the fastest server's; 1 if it is not known.
+  [[nodiscard]] static double slowness(const KnownInstance& instance, const std::string& route,
+                                       const ServiceBaseline& baseline, TimePoint now);
+  /// Factor of the cost for what the server fails beyond the median of its service: calls that all
+  /// its servers make may fail too.
+  [[nodiscard]] static double failureFactor(const KnownInstance& instance,
+                                            const ServiceBaseline& baseline, TimePoint now);
   double cost(const KnownInstance& instance, const std::string& route,
               const ServiceBaseline& baseline, TimePoint now);
   [[nodiscard]] bool usable(const KnownInstance& instance, const std::string& service,
@@ -116,11 +134,11 @@
 
   InstanceDirectoryOptions options_;
   Random random_;
-  std::map<std::string, KnownInstance> by_daemon_;
+  std::map<std::string, KnownInstance> by_proxy_;  ///< By the address of the proxy.
   std::map<std::string, std::vector<KnownInstance*>> by_service_;
-  std::map<std::string, KnownInstance*> watched_;  ///< By daemon, as by_daemon_.
-  std::vector<KnownInstance*> candidates_;  ///< Of the choice being made; kept for its memory.
-  std::vector<std::uint32_t> failed_;       ///< Of the candidates; likewise.
+  std::map<std::string, KnownInstance*> watched_;  ///< By address, as by_proxy_.
+  std::vector<KnownInstance*> candidates_;  ///< Of the choice being made; a member to reuse memory.
+  std::vector<std::uint32_t> failed_;       ///< Thousandths, of the candidates; likewise.
 };
 
 }  // namespace ramppond
--- a/core/placement/peer_liveness.cc
+++ b/core/placement/peer_liveness.cc
@@ -3,11 +3,12 @@
 namespace ramppond {
 namespace {
 
-// Longer than most requests take, so that pings stay rare.
-constexpr auto quiet_time = milliseconds(400);
-// Above the pause of a process whose share of a core is a quota of each tenth of
-// a second.
-constexpr auto ping_patience = milliseconds(250);
+// Silence of a peer with requests outstanding before it is pinged. Longer than most requests take,
+// so that pings stay rare; longer still, more requests go to a frozen peer.
+constexpr auto silence_before_ping = milliseconds(400);
+// A process whose processor time is limited in periods of 100 ms may pause for most of two periods;
+// a shorter time-out would take it for frozen.
+constexpr auto ping_timeout = milliseconds(250);
 
 }  // namespace
 
@@ -28,14 +29,14 @@
 
 auto peer_liveness::check(TimePoint now) -> liveness_step {
   if (this->pinged) {
-    if (this->silent || now - *this->pinged < ping_patience) {
+    if (this->silent || now - *this->pinged < ping_timeout) {
       return liveness_step::none;
     }
     this->silent = true;
     return liveness_step::became_silent;
   }
-  const auto quiet = this->silent ? std::optional<TimePoint>(this->last_ping) : this->waiting_since;
-  if (!quiet || now - *quiet < quiet_time) {
+  const auto since = this->silent ? std::optional<TimePoint>(this->last_ping) : this->waiting_since;
+  if (!since || now - *since < silence_before_ping) {
     return liveness_step::none;
   }
   this->pinged = now;
