--- a/core/retries/call_attribution.cc
+++ b/core/retries/call_attribution.cc
@@ -5,105 +5,136 @@
 namespace ramppond {
 namespace {
 
-// Deadlines cross a connection as whole milliseconds, twice.
-constexpr auto equal_deadlines = milliseconds(3);
-// A server may count its time from a moment later than ours.
-constexpr auto later_deadline = milliseconds(10);
-constexpr double smoothing = 1.0 / 32;
-constexpr double mostly = 0.5;
-// A deadline may match another one by chance.
-constexpr std::uint32_t least_calls = 3;
-constexpr double least_share = 0.02;
-// Configurations of the described sizes have a few hundred routes.
-constexpr std::size_t most_routes = 1024;
-// A route that makes fewer calls than before is known within some hundred runs.
-constexpr double most_forgotten = 0.998;
+// Deadlines cross a connection as whole milliseconds, twice. Wider, more runs match by chance.
+constexpr auto equal_deadline_tolerance = milliseconds(3);
+// A server may count a request's time from a later moment than the proxy, so its calls may end
+// this much later. Wider, client requests are taken for calls.
+constexpr auto later_deadline_tolerance = milliseconds(10);
+// Weight of one request in the smoothed share of client requests.
+constexpr double client_share_weight = 1.0 / 32;
+// Above this share, all requests of a route count as client requests.
+constexpr double most_requests = 0.5;
+// A deadline may match a run by chance. A route counts as caller from this many attributed calls
+// on, if they are this share of all of the callee.
+constexpr std::uint32_t min_caller_calls = 3;
+constexpr double min_caller_share = 0.02;
+// Bounds memory: routes that are remembered.
+constexpr std::size_t max_routes = 1024;
+// Factor of the most calls per run for each run that ends, so that a route that makes fewer calls
+// than before is known as such within some hundred runs.
+constexpr double calls_per_run_decay = 0.998;
+constexpr double rounding = 0.5;
+
+auto is_equal(TimePoint left, TimePoint right) -> bool {
+  return left <= right + equal_deadline_tolerance && left >= right - equal_deadline_tolerance;
+}
+
+// Whether a run with this deadline is over before its call could end at `call_deadline`.
+auto ends_before_call(TimePoint run_deadline, TimePoint call_deadline) -> bool {
+  return run_deadline + later_deadline_tolerance < call_deadline;
+}
+
+// The one route of a number of runs.
+class single_route {
+ public:
+  void add(const std::string& route) {
+    this->several = this->several || (this->last != nullptr && *this->last != route);
+    this->last = &route;
+  }
+  [[nodiscard]] auto empty() const -> bool { return this->last == nullptr; }
+  // Null if there is none, or several.
+  [[nodiscard]] auto get() const -> const std::string* {
+    return this->several ? nullptr : this->last;
+  }
+
+ private:
+  const std::string* last = nullptr;
+  bool several = false;
+};
 
 }  // namespace
 
 void call_attribution::on_begun(run_id id, const std::string& route, TimePoint deadline,
-                                bool repeat) {
-  this->runs[id] = {route, deadline, repeat, 0};
+                                bool retry) {
+  this->runs[id] = {route, deadline, retry, 0};
 }
 
-// Some calls of a run may have been taken for another's: the most that runs of
-// the route made of late are what they make.
 void call_attribution::on_ended(run_id id, bool whole) {
   const auto found = this->runs.find(id);
   if (found == this->runs.end()) {
     return;
   }
-  if (whole && (this->calls_a_run.size() < most_routes ||
-                this->calls_a_run.count(found->second.route) > 0)) {
-    auto& most = this->calls_a_run[found->second.route];
-    most = std::max<double>(most * most_forgotten, found->second.calls);
+  if (whole) {
+    this->learn_calls_per_run(found->second);
   }
   this->runs.erase(found);
 }
 
+// Some calls of a run may have been attributed to others, so the most that recent runs of the route
+// made is taken for what each makes.
+void call_attribution::learn_calls_per_run(const run& ended) {
+  const bool known = this->calls_per_run.count(ended.route) > 0;
+  if (!known && this->calls_per_run.size() >= max_routes) {
+    return;
+  }
+  auto& most = this->calls_per_run[ended.route];
+  most = std::max<double>(most * calls_per_run_decay, ended.calls);
+}
+
 void call_attribution::attribute_to_run(TimePoint deadline, attributed_request& request) {
   run* only = nullptr;
-  auto fitting = std::size_t(0);
+  auto matching = std::size_t(0);
   for (auto& [id, r] : this->runs) {
-    if (r.deadline > deadline + equal_deadlines || r.deadline < deadline - equal_deadlines) {
+    if (!is_equal(r.deadline, deadline)) {
       continue;
     }
     only = &r;
-    ++fitting;
-    request.of_repeat = request.of_repeat || r.repeat;
+    ++matching;
+    request.of_repeat = request.of_repeat || r.retry;
   }
-  if (fitting != 1) {
+  if (matching != 1) {
     return;
   }
   ++only->calls;
-  const auto known = this->calls_a_run.find(only->route);
-  if (known != this->calls_a_run.end()) {
-    const auto all = static_cast<std::uint32_t>(known->second + mostly);
+  const auto known = this->calls_per_run.find(only->route);
+  if (known != this->calls_per_run.end()) {
+    const auto all = static_cast<std::uint32_t>(known->second + rounding);
     request.calls_to_come = all - std::min(all, only->calls);
   }
 }
 
-// The route of all runs that may have made a call with this deadline, if it is
-// one route.
 auto call_attribution::only_caller(TimePoint deadline) const -> const std::string* {
-  const std::string* exact = nullptr;
-  const std::string* possible = nullptr;
-  bool several_exact = false;
-  bool several_possible = false;
-  for (const auto& [id, run] : this->runs) {
-    if (run.deadline + later_deadline < deadline) {
+  auto equal = single_route();
+  auto possible = single_route();
+  for (const auto& [id, r] : this->runs) {
+    if (ends_before_call(r.deadline, deadline)) {
       continue;
     }
-    several_possible = several_possible || (possible != nullptr && *possible != run.route);
-    possible = &run.route;
-    if (run.deadline > deadline + equal_deadlines) {
-      continue;
+    possible.add(r.route);
+    if (is_equal(r.deadline, deadline)) {
+      equal.add(r.route);
     }
-    if (run.deadline < deadline - equal_deadlines) {
-      continue;
-    }
-    several_exact = several_exact || (exact != nullptr && *exact != run.route);
-    exact = &run.route;
-  }
-  if (exact != nullptr) {
-    return several_exact ? nullptr : exact;
   }
-  return several_possible ? nullptr : possible;
+  return equal.empty() ? possible.get() : equal.get();
+}
+
+auto call_attribution::outlives_all_runs(TimePoint deadline) const -> bool {
+  return std::all_of(this->runs.begin(), this->runs.end(), [&](const auto& entry) {
+    return ends_before_call(entry.second.deadline, deadline);
+  });
 }
 
 auto call_attribution::on_request(const std::string& route, TimePoint deadline)
     -> attributed_request {
-  if (this->callees.size() >= most_routes && this->callees.count(route) == 0) {
+  if (this->callees.size() >= max_routes && this->callees.count(route) == 0) {
     this->callees.clear();
   }
-  const bool outlives_all = std::all_of(
-      this->runs.begin(), this->runs.end(),
-      [&](const auto& entry) { return entry.second.deadline + later_deadline < deadline; });
+  const bool outlives_all = this->outlives_all_runs(deadline);
   auto& callee = this->callees[route];
   const double sample = outlives_all ? 1 : 0;
-  callee.client_share += (sample - callee.client_share) * (callee.seen ? smoothing : 1);
+  callee.client_share += (sample - callee.client_share) * (callee.seen ? client_share_weight : 1);
   callee.seen = true;
-  if (outlives_all || callee.client_share > mostly) {
+  if (outlives_all || callee.client_share > most_requests) {
     return {};
   }
   auto request = attributed_request{request_origin::server_or_unknown};
@@ -117,18 +148,18 @@
 
 auto call_attribution::comes_from_clients(const std::string& route) const -> bool {
   const auto found = this->callees.find(route);
-  return found != this->callees.end() && found->second.client_share > mostly;
+  return found != this->callees.end() && found->second.client_share > most_requests;
 }
 
 auto call_attribution::calls_of(const std::string& route) const -> std::vector<std::string> {
   auto calls = std::vector<std::string>();
   for (const auto& [name, callee] : this->callees) {
     const auto found = callee.callers.find(route);
-    if (found == callee.callers.end() || callee.client_share > mostly) {
+    if (found == callee.callers.end() || callee.client_share > most_requests) {
       continue;
     }
-    const bool enough = found->second >= least_calls &&
-                        found->second >= least_share * static_cast<double>(callee.attributed);
+    const bool enough = found->second >= min_caller_calls &&
+                        found->second >= min_caller_share * static_cast<double>(callee.attributed);
     if (enough) {
       calls.push_back(name);
     }
--- a/core/retries/retry_budget.h
+++ b/core/retries/retry_budget.h
@@ -1,12 +1,16 @@
-// The retry budget of one service on one daemon.
+// Decides whether a proxy may send one more retry to a service.
 //
-// In any window, repeats stay below a share of the first sends in that window, in the one before
-// it, or in the one half a window before it, whichever has the most. Each daemon keeps to that by
-// what it sends itself, so the sum over all daemons keeps to it without any exchange between them,
-// after restarts too. Beside it each daemon has its part of what all of them may repeat whatever
-// the requests. A daemon with a request a second never has a whole repeat to pay with, so what it
-// has of one is drawn for: the fleet repeats its share however thinly its requests are spread.
-// Pure, not thread safe.
+// Input: first sends to the service and wishes to retry, each with its time (microseconds), and the
+// allowance of this proxy. Output: pay or refuse. Owns the counts of the last two windows for one
+// service at one proxy. Pure, not thread safe.
+//
+// In every window the retries stay below a share of the first sends in that window, in the window
+// before, or in the window that began half a window earlier, whichever has the most. Each proxy
+// keeps this bound by its own sends, so the sum over all proxies keeps it without any exchange,
+// also after restarts. In addition each proxy has an equal part of an allowance that all proxies
+// share, whatever their requests. A proxy with one request a second never has a whole retry to
+// spend, so a fraction of a retry is spent by a random draw: the fleet retries its share however
+// thinly its requests are spread.
 #pragma once
 
 #include <cstddef>
@@ -18,35 +22,35 @@
 
 namespace ramppond {
 
-/// Repeats allowed for each first send.
+/// Retries allowed for each first send.
 struct repeat_share {
   double value = 0.1;
 };
 
-/// Share of what is allowed that a repeat must leave for those that are worth more, which reserve
-/// less. No more is kept for them than they asked for in the last window.
+/// Share of the allowed retries that a retry must leave to others that complete more work and
+/// reserve less. Never more is kept for those than they asked for in the last window.
 struct budget_reserve {
   double share = 0;
 };
 
-/// A uniform draw from [0, 1): less than a whole repeat is one with that probability. With 1 only
-/// whole repeats are paid for.
+/// A uniform draw from [0, 1): a fraction of a retry is paid with that probability. With 1 only
+/// whole retries are paid.
 struct budget_draw {
   double value = 1;
 };
 
-/// What all daemons together may repeat of a service's requests beyond a share of them.
+/// Retries of a service's requests that all proxies together may send beyond the share.
 struct shared_repeats {
   double count = 0;  ///< In any `window`.
   Duration window = seconds(10);
 };
 
-/// Repeats that a daemon may send in a window whatever it sends else.
+/// Retries that one proxy may send in a window beyond the share.
 struct repeat_allowance {
   double count = 0;
 };
 
-/// The part of one of `daemons` in `shared`.
+/// The part of one of `daemons` proxies in `shared`.
 auto part_of(const shared_repeats& shared, std::size_t daemons) -> repeat_allowance;
 
 class retry_budget {
@@ -59,27 +63,30 @@
 
   void on_first_send(TimePoint now);
 
-  /// Pays for one repeat, if `reserve` of what is allowed is left after it. What there is of a
-  /// whole one is spent on `draw`. False when there is not enough to pay with.
+  /// Pays for one retry if `reserve` of what is allowed is left after it. A fraction of a retry is
+  /// spent on `draw`. Returns false if there is not enough.
   auto take(TimePoint now, budget_reserve reserve = {}, budget_draw draw = {}) -> bool;
 
-  /// A first send that counts as a repeat, since a repeated run made it: pays for it even where
-  /// there is nothing left to pay with.
+  /// Counts a first send as a retry, since a retried request made it. Always pays, even beyond the
+  /// budget.
   void charge(TimePoint now);
 
  private:
   struct slot {
-    std::int64_t number;  // of a fixed part of the window
+    std::int64_t number;  // of a tenth of the window, counted from time 0
     double first_sends = 0;
-    double repeats = 0;
-    std::map<double, double> asked = {};  // repeats by the share that they reserve; a few shares
+    double retries = 0;
+    std::map<double, double> wanted = {};  // retries asked for, by the share that they reserve
   };
 
   auto current_slot(TimePoint now) -> slot&;
+  // Of slots from `begin` up to `end`, which is left out.
   [[nodiscard]] auto first_sends(std::int64_t begin, std::int64_t end) const -> double;
-  [[nodiscard]] auto repeats_since(std::int64_t begin) const -> double;
-  [[nodiscard]] auto asked_by_better(std::int64_t begin, budget_reserve reserve) const -> double;
-  [[nodiscard]] auto left(std::int64_t current, budget_reserve reserve) const -> double;
+  [[nodiscard]] auto retries_since(std::int64_t begin) const -> double;
+  // Retries asked for that reserve less than `reserve`.
+  [[nodiscard]] auto wanted_by_others(std::int64_t begin, budget_reserve reserve) const -> double;
+  [[nodiscard]] auto allowed_in_window(std::int64_t begin, std::int64_t current) const -> double;
+  [[nodiscard]] auto usable(std::int64_t current, budget_reserve reserve) const -> double;
 
   repeat_share share;
   Duration window = seconds(10);
--- a/tests/core/retries/retry_budget_test.cc
+++ b/tests/core/retries/retry_budget_test.cc
@@ -13,7 +13,7 @@
 namespace ramppond {
 namespace {
 
-// As a platform bounds them: repeats in any window of ten seconds, over all
+// As a platform bounds them: retries in any window of ten seconds, over all
 // daemons.
 constexpr auto window_slots = std::size_t(10);
 constexpr auto allowed_ratio = 0.2;
@@ -24,7 +24,7 @@
   const char* name;
   std::size_t daemons;
   std::vector<int> requests;  // of the whole fleet, second by second
-  std::size_t failing_from;   // second from which every request wants a repeat
+  std::size_t failing_from;   // second from which every request wants a retry
 };
 
 // Keeps the name of a test the same in every run.
@@ -47,26 +47,26 @@
   const auto& tested = GetParam();
   auto random = Random(7);
   auto fleet = std::vector<retry_budget>(tested.daemons, retry_budget(earned_share));
-  auto repeats = std::vector<double>();
+  auto retries = std::vector<double>();
   for (auto second = std::size_t(0); second < tested.requests.size(); ++second) {
-    auto repeated = 0;
+    auto retried = 0;
     for (auto i = 0; i < tested.requests[second]; ++i) {
       auto& budget = fleet[random.below(fleet.size())];
       const auto now = TimePoint(seconds(second)) + Duration(i);
       budget.on_first_send(now);
-      repeated += second >= tested.failing_from && budget.take(now) ? 1 : 0;
+      retried += second >= tested.failing_from && budget.take(now) ? 1 : 0;
     }
     // Requests that were under way fail too, as many as a daemon has saved for.
     for (auto& budget : fleet) {
       const auto now = TimePoint(seconds(second)) + milliseconds(500);
-      while (second >= tested.failing_from && budget.take(now)) ++repeated;
+      while (second >= tested.failing_from && budget.take(now)) ++retried;
     }
-    repeats.push_back(repeated);
+    retries.push_back(retried);
   }
-  for (auto from = std::size_t(0); from + window_slots <= repeats.size(); ++from) {
+  for (auto from = std::size_t(0); from + window_slots <= retries.size(); ++from) {
     auto wanted = 0.0, sent = 0.0;
     for (auto i = from; i < from + window_slots; ++i) {
-      wanted += repeats[i];
+      wanted += retries[i];
       sent += tested.requests[i];
     }
     EXPECT_LE(wanted, allowed_ratio * sent + allowed_extra) << "from second " << from;
@@ -93,7 +93,7 @@
   EXPECT_LE(paid, 120);
 }
 
-// A repeat counts in windows that begin with it, too: first sends pay for a window's length.
+// A retry counts in windows that begin with it, too: first sends pay for a window's length.
 TEST(retry_budget, first_sends_pay_for_one_window_only) {
   auto budget = retry_budget(earned_share);
   for (auto i = 0; i < 1000; ++i) budget.on_first_send(seconds(1));
@@ -102,20 +102,20 @@
 }
 
 // Where a service turns much away, runs end early and first sends become few: what was sent in the
-// window before still pays: 49 repeats with tokens of 0.12 that last for five seconds.
+// window before still pays: 49 retries with tokens of 0.12 that last for five seconds.
 TEST(retry_budget, what_was_sent_before_a_service_failed_pays_for_the_window) {
   auto budget = retry_budget(repeat_share{0.16});
-  auto repeats = 0;
+  auto retries = 0;
   for (auto ms = 0; ms < 30000; ms += 20) budget.on_first_send(milliseconds(ms));
   for (auto ms = 30000; ms < 38500; ms += 40) {
     budget.on_first_send(milliseconds(ms));
-    repeats += budget.take(milliseconds(ms)) ? 1 : 0;
+    retries += budget.take(milliseconds(ms)) ? 1 : 0;
   }
-  EXPECT_GE(repeats, 78);
-  EXPECT_LE(repeats, 80);
+  EXPECT_GE(retries, 78);
+  EXPECT_LE(retries, 80);
 }
 
-TEST(retry_budget, keeps_a_reserve_for_repeats_that_are_worth_more) {
+TEST(retry_budget, keeps_a_reserve_for_retries_that_are_worth_more) {
   auto budget = retry_budget(earned_share);
   for (auto i = 0; i < 1000; ++i) budget.on_first_send(seconds(1));
   auto best = 0, others = 0;
@@ -128,7 +128,7 @@
 }
 
 // Those that reserve half were granted half, 60, whether others came or not.
-TEST(retry_budget, keeps_nothing_for_repeats_that_nobody_asks_for) {
+TEST(retry_budget, keeps_nothing_for_retries_that_nobody_asks_for) {
   auto budget = retry_budget(earned_share);
   for (auto i = 0; i < 1000; ++i) budget.on_first_send(seconds(1));
   auto paid = 0;
@@ -145,7 +145,7 @@
   EXPECT_NEAR(paid, 120, 1);
 }
 
-TEST(retry_budget, first_sends_of_repeated_runs_are_paid_for_later_if_need_be) {
+TEST(retry_budget, first_sends_of_retried_runs_are_paid_for_later_if_need_be) {
   auto budget = retry_budget(earned_share);
   for (auto i = 0; i < 30; ++i) budget.charge(seconds(1));
   for (auto i = 0; i < 250; ++i) budget.on_first_send(seconds(1));
@@ -154,12 +154,12 @@
   EXPECT_TRUE(budget.take(seconds(1)));
 }
 
-// Each daemon has about 0.12 of a repeat in a window, never a whole one: without a draw 984 daemons
-// repeat none of 1,960 requests.
-TEST(retry_budget, a_large_fleet_with_little_traffic_each_repeats_its_share) {
+// Each daemon has about 0.12 of a retry in a window, never a whole one: without a draw 984 daemons
+// retry none of 1,960 requests.
+TEST(retry_budget, a_large_fleet_with_little_traffic_each_retries_its_share) {
   auto random = Random(7);
   auto fleet = std::vector<retry_budget>(984, retry_budget(earned_share));
-  auto requests = 0, repeats = 0;
+  auto requests = 0, retries = 0;
   for (auto second = 0; second < 40; ++second) {
     for (auto i = 0; i < 98; ++i) {
       auto& budget = fleet[random.below(fleet.size())];
@@ -167,12 +167,12 @@
       budget.on_first_send(now);
       if (second >= 20) {
         ++requests;
-        repeats += budget.take(now, {}, {random.uniform()}) ? 1 : 0;
+        retries += budget.take(now, {}, {random.uniform()}) ? 1 : 0;
       }
     }
   }
-  EXPECT_GT(repeats, 0.08 * requests);
-  EXPECT_LT(repeats, 0.2 * requests);
+  EXPECT_GT(retries, 0.08 * requests);
+  EXPECT_LT(retries, 0.2 * requests);
 }
 
 TEST(retry_budget, a_fraction_is_spent_whether_the_draw_is_won_or_lost) {
@@ -195,34 +195,34 @@
   *out << tested.name;
 }
 
-class shared_repeats_fleet : public testing::TestWithParam<shared_case> {};
+class shared_retries_fleet : public testing::TestWithParam<shared_case> {};
 
-// Every daemon wants a repeat many times a second, and sends no first requests.
-TEST_P(shared_repeats_fleet, stay_within_the_bound_in_any_window) {
+// Every daemon wants a retry many times a second, and sends no first requests.
+TEST_P(shared_retries_fleet, stay_within_the_bound_in_any_window) {
   const auto& tested = GetParam();
   auto random = Random(7);
   auto fleet = std::vector<retry_budget>(tested.daemons, retry_budget(earned_share));
   for (auto& budget : fleet)
     budget.set_allowance(part_of({tested.shared, seconds(10)}, fleet.size()));
-  auto repeats = std::vector<double>();
+  auto retries = std::vector<double>();
   for (auto second = 0; second < 40; ++second) {
-    auto repeated = 0;
+    auto retried = 0;
     for (auto& budget : fleet) {
       for (auto i = 0; i < 10; ++i) {
-        repeated += budget.take(seconds(second), {}, {random.uniform()}) ? 1 : 0;
+        retried += budget.take(seconds(second), {}, {random.uniform()}) ? 1 : 0;
       }
     }
-    repeats.push_back(repeated);
+    retries.push_back(retried);
   }
-  for (auto from = std::size_t(0); from + window_slots <= repeats.size(); ++from) {
+  for (auto from = std::size_t(0); from + window_slots <= retries.size(); ++from) {
     auto sent = 0.0;
-    for (auto i = from; i < from + window_slots; ++i) sent += repeats[i];
+    for (auto i = from; i < from + window_slots; ++i) sent += retries[i];
     EXPECT_LE(sent, tested.shared) << "from second " << from;
   }
-  EXPECT_GE(std::accumulate(repeats.begin(), repeats.end(), 0.0), 0.6 * tested.shared);
+  EXPECT_GE(std::accumulate(retries.begin(), retries.end(), 0.0), 0.6 * tested.shared);
 }
 
-INSTANTIATE_TEST_SUITE_P(table, shared_repeats_fleet,
+INSTANTIATE_TEST_SUITE_P(table, shared_retries_fleet,
                          testing::Values(shared_case{"few_daemons", 12, 55},
                                          shared_case{"many_daemons", 85, 115},
                                          shared_case{"a_thousand_daemons", 984, 1040},
