--- a/core/lifecycle/local_server.cc
+++ b/core/lifecycle/local_server.cc
@@ -5,10 +5,12 @@
 namespace ramppond {
 namespace {
 
-constexpr std::size_t kRememberedInstances = 64;
-// A clock that was set back makes a new server look older than the one before it. Three heartbeats
-// of the usual three seconds are missed by then.
-constexpr Duration kSilenceBeforeOlderReturns = seconds(10);
+// Bounds memory; late heartbeats of older incarnations are rare.
+constexpr std::size_t kRememberedIncarnations = 64;
+// A clock that was set back makes a new server look older than its predecessor. After this silence
+// of the current server, three missed heartbeats of the usual three seconds, it is taken over all
+// the same. Shorter, late heartbeats of a former server take over; longer, the new one stays idle.
+constexpr Duration kSilenceBeforeOlderStart = seconds(10);
 
 }  // namespace
 
@@ -17,47 +19,59 @@
   return started_ms ? instance_id + "@" + std::to_string(*started_ms) : instance_id;
 }
 
+bool LocalServer::isCurrent(const std::string& incarnation) const {
+  return known_ && current_.incarnation() == incarnation;
+}
+
 bool LocalServer::onHeartbeat(const ServerHeartbeat& heartbeat, TimePoint now) {
   const std::string incarnation = heartbeat.incarnation();
-  const bool first = past_.count(incarnation) == 0;
+  const bool first = incarnations_.count(incarnation) == 0;
   if (first) {
-    forgetOldest();
+    makeRoom();
   }
-  Past& past = past_[incarnation];
-  if (past.left || (!first && heartbeat.sequence <= past.sequence)) {
+  Incarnation& sender = incarnations_[incarnation];
+  if (sender.left || (!first && heartbeat.sequence <= sender.sequence)) {
     return false;
   }
-  past.sequence = heartbeat.sequence;
-  past.draining = heartbeat.draining;
-  const bool same = known_ && current_.incarnation() == incarnation;
-  if (known_ && !same && !maySucceed(heartbeat, first, now)) {
-    return false;
+  sender.sequence = heartbeat.sequence;
+  sender.draining = heartbeat.draining;
+  if (known_ && !isCurrent(incarnation)) {
+    const bool heard_again = std::exchange(contender_, incarnation) == incarnation;
+    if (!maySucceed(heartbeat, first, heard_again, now)) {
+      return false;
+    }
   }
-  insisting_.clear();
-  const bool changed = !same || draining_ != heartbeat.draining ||
+  return takeOver(heartbeat, now);
+}
+
+bool LocalServer::takeOver(const ServerHeartbeat& heartbeat, TimePoint now) {
+  const bool same = isCurrent(heartbeat.incarnation());
+  const bool was_draining = draining_since_.has_value();
+  const bool changed = !same || was_draining != heartbeat.draining ||
                        current_.slots != heartbeat.slots || current_.service != heartbeat.service;
-  if (heartbeat.draining && !(same && draining_)) {
+  if (!heartbeat.draining) {
+    draining_since_.reset();
+  } else if (!same || !was_draining) {
     draining_since_ = now;
   }
+  contender_.clear();
   known_ = true;
-  draining_ = heartbeat.draining;
   current_ = heartbeat;
-  heard_ = now;
+  last_heartbeat_ = now;
   return changed;
 }
 
-// Of two servers at one address the one that started later lives, whatever comes late of the other.
-// Where they do not tell when they started, the one that has sent fewer heartbeats began later. One
-// that goes on to send while the other is silent lives too, whatever its count.
-bool LocalServer::maySucceed(const ServerHeartbeat& heartbeat, bool first, TimePoint now) {
-  const std::string incarnation = heartbeat.incarnation();
-  const bool insists = std::exchange(insisting_, incarnation) == incarnation;
+// Of two servers at one address the one that started later is alive, whatever arrives late from the
+// other. Where they don't report when they started, the one that has sent fewer heartbeats started
+// later. One that goes on to send heartbeats while the other is silent is alive too.
+bool LocalServer::maySucceed(const ServerHeartbeat& heartbeat, bool first, bool heard_again,
+                             TimePoint now) const {
   if (heartbeat.started_ms && current_.started_ms &&
       *heartbeat.started_ms != *current_.started_ms) {
     const bool later = *heartbeat.started_ms > *current_.started_ms;
-    return later || (insists && now - heard_ >= kSilenceBeforeOlderReturns);
+    return later || (heard_again && now - last_heartbeat_ >= kSilenceBeforeOlderStart);
   }
-  return first || insists || heartbeat.sequence < current_.sequence;
+  return first || heard_again || heartbeat.sequence < current_.sequence;
 }
 
 bool LocalServer::onLeave(const ServerLeave& leave, TimePoint now) {
@@ -65,20 +79,19 @@
   const bool of_current = known_ && !leave.started_ms && current_.instance_id == leave.instance_id;
   const std::string leaving =
       of_current ? current : incarnationName(leave.instance_id, leave.started_ms);
-  if (past_.count(leaving) == 0) {
-    forgetOldest();
+  if (incarnations_.count(leaving) == 0) {
+    makeRoom();
   }
-  past_[leaving].left = true;
-  if (current != leaving || draining_) {
+  incarnations_[leaving].left = true;
+  if (current != leaving || draining_since_) {
     return false;
   }
-  draining_ = true;
   draining_since_ = now;
   return true;
 }
 
 bool LocalServer::onWrongInstance(const std::string& incarnation) {
-  if (!known_ || current_.incarnation() != incarnation) {
+  if (!isCurrent(incarnation)) {
     return false;
   }
   known_ = false;
@@ -90,8 +103,8 @@
 }
 
 bool LocalServer::announcedEnd(const std::string& incarnation) const {
-  const auto past = past_.find(incarnation);
-  return past != past_.end() && (past->second.left || past->second.draining);
+  const auto found = incarnations_.find(incarnation);
+  return found != incarnations_.end() && (found->second.left || found->second.draining);
 }
 
 FenceVerdict LocalServer::admit(const std::string& incarnation, const std::string& service,
@@ -102,7 +115,7 @@
   if (current_.incarnation() != incarnation || current_.service != service) {
     return FenceVerdict::kOtherInstance;
   }
-  if (draining_ && now - draining_since_ > draining_admission_) {
+  if (draining_since_ && now - *draining_since_ > draining_admission_) {
     return FenceVerdict::kDraining;
   }
   return FenceVerdict::kAdmit;
@@ -117,17 +130,17 @@
   record.service = current_.service;
   record.slots = current_.slots;
   record.cold_left = current_.cold_left;
-  record.state = draining_ ? InstanceState::kDraining : InstanceState::kReady;
+  record.state = draining_since_ ? InstanceState::kDraining : InstanceState::kReady;
   return record;
 }
 
-void LocalServer::forgetOldest() {
-  if (past_.size() < kRememberedInstances) {
+void LocalServer::makeRoom() {
+  if (incarnations_.size() < kRememberedIncarnations) {
     return;
   }
-  for (auto past = past_.begin(); past != past_.end(); ++past) {
-    if (!known_ || past->first != current_.incarnation()) {
-      past_.erase(past);
+  for (auto other = incarnations_.begin(); other != incarnations_.end(); ++other) {
+    if (!isCurrent(other->first)) {
+      incarnations_.erase(other);
       return;
     }
   }
--- a/core/lifecycle/planned_stop.cc
+++ b/core/lifecycle/planned_stop.cc
@@ -24,7 +24,7 @@
 }
 
 auto planned_stop::step(stop_load load, TimePoint now) -> stop_phase {
-  this->reached = this->next(load, now - this->asked);
+  this->reached = this->next(load, now - this->requested);
   return this->reached;
 }
 
--- a/tests/core/lifecycle/local_server_test.cc
+++ b/tests/core/lifecycle/local_server_test.cc
@@ -102,9 +102,9 @@
 }
 
 ServerHeartbeat bornAt(std::int64_t started_ms, const std::string& id, std::uint64_t sequence) {
-  ServerHeartbeat told = heartbeat(id, sequence);
-  told.started_ms = started_ms;
-  return told;
+  ServerHeartbeat report = heartbeat(id, sequence);
+  report.started_ms = started_ms;
+  return report;
 }
 
 TEST(LocalServer, ARestartUnderTheSameIdentityIsAnotherIncarnation) {
