--- a/core/traffic/traffic_configuration.h
+++ b/core/traffic/traffic_configuration.h
@@ -1,8 +1,10 @@
-// Routes, services and request limits: the part of the configuration that operators replace as a
-// whole, on a base version.
+// The traffic configuration: routes, services, tenants and request limits, which operators replace
+// as a whole on a base version.
 //
-// Pure: parsing and printing of an operator's document belong to the adapter that speaks its
-// format. Every process that takes such a configuration validates it by validateTraffic() only.
+// Decides whether a configuration is valid, which route a request takes and which service of the
+// route's split serves it. Parsing and printing of an operator's document belong to the adapter of
+// its format. Every process that takes a configuration validates it by validateTraffic() only.
+// Pure; the data types may be read from any thread.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +18,7 @@
 
 namespace ramppond {
 
-/// What a route's requests allow.
+/// How often a route's requests may run.
 enum class RequestKind : std::uint8_t {
   kSafe = 0,      ///< May run more than once.
   kUnsafe = 1,    ///< Runs at most once.
@@ -46,7 +48,7 @@
   std::string path_prefix;  ///< Begins and ends with a slash.
   RequestKind kind = RequestKind::kSafe;
   Duration timeout{0};             ///< The longest that a request may be held.
-  Duration goal{0};                ///< An answer within this time is worth most.
+  Duration goal{0};                ///< An answer within this time is in time.
   std::uint32_t priority = 0;      ///< 0 is the most urgent.
   std::uint32_t max_attempts = 1;  ///< Servers that one request may be sent to, at most.
   std::vector<WeightedService> split;
@@ -67,15 +69,15 @@
   }
 };
 
-/// Whoever sends requests under some keys, and how many it may send over all daemons together.
+/// A sender of requests, known by its keys, and how many it may send over all proxies together.
 struct TenantDefinition {
   std::string name;
   std::vector<std::string> key_digests;  ///< See core/tenants/key_digest.h.
-  /// Goes before the priority of the route. 0 is the most urgent.
+  /// Counts before the priority of the route. 0 is the most urgent.
   std::uint32_t priority = 0;
-  /// Fixed-point, in thousandths of a request a second; 0 for no limit.
+  /// Fixed-point, in thousandths of a request per second; 0 for no limit.
   std::uint64_t rate_millis = 0;
-  std::uint64_t burst = 0;  ///< Requests beyond the rate.
+  std::uint64_t burst = 0;  ///< Requests at once beyond the rate.
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -135,7 +137,7 @@
 
 /// The longest time-out that a route may have.
 constexpr Duration kLongestRouteTimeout = std::chrono::minutes(10);
-/// A goal must lie less than this above its route's time-out.
+/// A goal must exceed its route's time-out by less than this.
 constexpr Duration kGoalAboveTimeout = std::chrono::minutes(1);
 
 /// Why `configuration` may not be put in force: names the entry, the key and what was expected.
--- a/core/traffic/traffic_state.h
+++ b/core/traffic/traffic_state.h
@@ -1,7 +1,11 @@
-// The replicated record of the traffic configuration in force and of those that were taken before.
+// Decides which replacement of the traffic configuration takes effect.
 //
-// Deterministic part of ControlState. A replacement names the number it builds on; of two on one
-// base exactly one is taken; a repeated one gets the first answer, also after later replacements.
+// Input: committed replacements in the order of the log. Output: taken, or the reason why not. Owns
+// the configuration in force, the operator's document and the identities of replacements taken
+// before. Deterministic part of ControlState. Pure, not thread safe.
+//
+// A replacement names the version that it builds on, so of two on one base exactly one is taken. A
+// replacement that is sent again gets the first answer, also after later replacements.
 #pragma once
 
 #include <cstdint>
@@ -13,11 +17,11 @@
 
 namespace ramppond {
 
-/// An operator's wish to put a whole configuration in force.
+/// An operator asks to put a whole configuration in force.
 struct TrafficReplacement {
   std::uint64_t base_number = 0;
   TrafficConfiguration configuration;
-  std::string document;  ///< The operator's own text, given back to whoever reads.
+  std::string document;  ///< The operator's own text, returned on reads.
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -62,7 +66,7 @@
   std::string reason;
 };
 
-/// Replacements whose repetition is recognised; several days of ordinary change.
+/// Replacements that are recognised when they are sent again: several days of ordinary changes.
 constexpr std::size_t kRememberedReplacements = 4096;
 
 class TrafficState {
