--- a/core/tenants/api_keys.h
+++ b/core/tenants/api_keys.h
@@ -1,6 +1,8 @@
-// Finds the tenant that holds a key, in a time that does not grow with the
-// number of keys. Refers to the configuration that it was made from. Pure, not
-// thread safe.
+// Finds the tenant that holds a key.
+//
+// Owns an index of key digests; refers to the list of tenants that it was made from, which must
+// outlive it. The time of a look-up doesn't grow with the number of keys. Pure; any thread may
+// read.
 #pragma once
 
 #include <string>
--- a/core/tenants/authority_lease.cc
+++ b/core/tenants/authority_lease.cc
@@ -5,11 +5,13 @@
 namespace ramppond {
 namespace {
 
-// A tenth: an answer that was held leaves the lease two tenths old at most, so
-// that eight are left for an election and a restart of the whole group.
+// An answer that a coordinator held leaves the lease two tenths old at most, so
+// that eight tenths are left for an election or a restart of all coordinators.
+// Fewer: the lease lapses meanwhile. More: more polls and proofs.
 constexpr auto renewals_per_lease = 10;
-// A daemon in touch renews well within this share; beyond it, it may have
-// missed that a key was added.
+// The lease is fresh for its length divided by this. A proxy that gets answers
+// renews it well within that time. Larger: valid requests are put off by single
+// lost answers. Smaller: a new key is refused for good for longer.
 constexpr auto fresh_divisor = 3;
 
 }  // namespace
--- a/core/tenants/authority_lease.h
+++ b/core/tenants/authority_lease.h
@@ -1,13 +1,14 @@
-// How long a daemon may act on keys without hearing from the control group.
+// Decides whether a proxy may still rely on the keys that it knows.
 //
-// A control member vouches for the configuration that it gives: a quorum
-// confirmed, after the daemon had asked, that nothing newer was acknowledged.
-// So the lease starts when the daemon asked, not when the answer came: whatever
-// was acknowledged before is known here, and a key whose removal was
-// acknowledged later runs nothing that is sent more than the lease's length
-// after that. The time must go on while the machine is suspended and must be
-// read when a request is decided, not before it was read from its connection.
-// Pure, not thread safe.
+// Input: when the proxy asked for each answer that a coordinator proved, and the length of the
+// lease (times in microseconds; they must go on while the machine is suspended). Output: fresh,
+// stale or lapsed. Owns the start of the lease. Relies on the caller reading the time when it
+// decides a request, not before the request was read from its connection. Pure, not thread safe.
+//
+// An answer is proven if a quorum confirmed, after the proxy had asked, that nothing newer was
+// acknowledged. So the lease starts when the proxy asked, not when the answer came: every change
+// that was acknowledged before the question is known here, and a key whose removal is acknowledged
+// later runs nothing that is sent more than the lease's length after the acknowledgement.
 #pragma once
 
 #include <optional>
@@ -17,9 +18,9 @@
 namespace ramppond {
 
 enum class authority {
-  fresh,   // vouched for of late: what is not known here does not exist
-  stale,   // keys that are known still hold; others may have been added
-  lapsed,  // nothing can be said of any key
+  fresh,   // a key that is not known here does not exist
+  stale,   // known keys are still valid; others may have been added
+  lapsed,  // known keys may have been removed
 };
 
 class authority_lease {
@@ -27,13 +28,13 @@
   /// Without a length the lease is always fresh.
   explicit authority_lease(std::optional<Duration> length) : length(length) {}
 
-  /// A member vouched for the configuration held, in answer to a question that
-  /// was asked at `asked`.
+  /// A coordinator proved the configuration held, in answer to a question sent at
+  /// `asked`.
   void on_vouched(TimePoint asked);
 
   [[nodiscard]] auto at(TimePoint now) const -> authority;
 
-  /// How long the daemon may leave its member without a question: the lease
+  /// How often the proxy must ask at least; nothing without a length. The lease
   /// survives the loss of several answers in a row.
   [[nodiscard]] auto renewal_interval() const -> std::optional<Duration>;
 
--- a/core/tenants/credential.h
+++ b/core/tenants/credential.h
@@ -1,4 +1,4 @@
-// What a request carries to say on whose behalf it is sent.
+// The credential of a request, as its header fields give it.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace ramppond {
 
-/// The key of a request, as far as its fields tell.
+/// What a request carries as credential.
 enum class CredentialForm : std::uint8_t {
   kNone = 0,   ///< The request carries no credential.
   kKey,        ///< It carries a key.
--- a/core/tenants/identity.cc
+++ b/core/tenants/identity.cc
@@ -3,7 +3,7 @@
 namespace ramppond {
 namespace {
 
-// A key counts only while the lease holds: it may have been taken away since.
+// A key counts only while the lease holds: it may have been removed since.
 auto holder(const api_keys& keys, const Credential& credential, authority held)
     -> const TenantDefinition* {
   const auto usable = credential.form == CredentialForm::kKey && held != authority::lapsed;
@@ -21,7 +21,7 @@
   if (held == authority::lapsed) {
     return key_unjudged{};
   }
-  // A key may have been added that this daemon has not heard of.
+  // The key may have been added after the last proven answer.
   const auto may_be_new = credential.form == CredentialForm::kKey && held == authority::stale;
   return may_be_new ? identity(key_unjudged{}) : identity(key_refused{});
 }
--- a/core/tenants/identity.h
+++ b/core/tenants/identity.h
@@ -1,6 +1,7 @@
-// On whose behalf a request is sent, and whether it may be.
+// Decides on whose behalf a request is sent, and whether it may go on.
 //
-// Pure.
+// Input: the request's route and credential, the keys known and the state of the lease on them.
+// Output: a tenant, none, refused or not to be judged now. Holds no state. Pure; any thread.
 #pragma once
 
 #include <variant>
@@ -17,16 +18,16 @@
   const TenantDefinition* tenant = nullptr;
 };
 
-/// No tenant holds the key, or there is none: final.
+/// No tenant holds the key, or the request carries no key: a retry gets the same answer.
 struct key_refused {};
 
-/// Whether a tenant holds the key cannot be told now: the request may come back.
+/// Whether a tenant holds the key is not known at present: the request may be retried later.
 struct key_unjudged {};
 
 using identity = std::variant<identified, key_refused, key_unjudged>;
 
-/// The identity of a request to `route`, by a daemon whose lease on the keys
-/// that it knows is in state `held`.
+/// The identity of a request to `route`, at a proxy that knows `keys` under a
+/// lease in state `held`.
 [[nodiscard]] auto identify(const TrafficRoute& route, const api_keys& keys,
                             const Credential& credential, authority held) -> identity;
 
--- a/core/tenants/key_digest.h
+++ b/core/tenants/key_digest.h
@@ -1,8 +1,8 @@
 // The form in which keys are held and compared.
 //
-// Only whoever keeps the operator's document knows a key; daemons and their
-// messages hold its digest, from which the key cannot be found, and by which a
-// wrong key tells nothing of how much of it is right.
+// Only the operator's document holds keys. Proxies and messages between processes hold their
+// digests, from which a key can't be computed; a comparison of digests doesn't show how much of a
+// wrong key is right. Pure; any thread.
 #pragma once
 
 #include <string>
--- a/core/tenants/quota_gate.cc
+++ b/core/tenants/quota_gate.cc
@@ -8,27 +8,34 @@
 namespace ramppond {
 namespace {
 
-// Reports go out every quarter of a second: one may be lost before the daemon
-// counts as out of touch.
-constexpr auto word_lasts = milliseconds(500);
+// The proxy follows the leader's last answer for this time, from the report that
+// it answers. Reports are sent every 250 ms. Shorter, one lost answer is enough
+// to fall back to equal parts, which refuse requests below the limit; longer, a
+// fraction that is out of date lets too much through.
+constexpr auto answer_valid = milliseconds(500);
 constexpr std::int64_t slots_per_window = 10;
-// Of the bound, shared out among daemons that are out of touch. The rest is for
-// what ran within the same window before.
-constexpr double usable_share = 0.8;
-// A tenant that arrives here at several times its equal part shows before the
-// next report is due.
+// Of the bound: what all proxies without recent answers give out together. The
+// rest is for requests that ran earlier in the same window. Higher, the bound is
+// exceeded; lower, requests below the limit are refused.
+constexpr double equal_parts_share = 0.8;
+// A tenant that sends this many times its equal part of the rate within a report
+// interval is reported at once. Lower, ordinary traffic causes extra reports;
+// higher, a surge runs on for another interval.
 constexpr double surge_factor = 2;
 constexpr double report_interval_s = 0.25;
-constexpr double least_surge = 4;  // requests
-constexpr double thousand = 1000;
-constexpr auto shortest_retry = milliseconds(500);
-constexpr double shortest_fraction = 0.02;
-
-// How long what a tenant sends beyond its limit within a second takes at its
+// Fewer unreported requests are no surge, whatever the part.
+constexpr double min_surge_requests = 4;
+constexpr double thousandths = 1000;
+// Bounds of the time after which a refused client is asked to retry; the upper
+// one is the window of the bound.
+constexpr auto min_retry_after = milliseconds(500);
+constexpr double min_fraction = 0.02;
+
+// Time that the requests beyond the limit within a second take at the tenant's
 // rate.
 auto excess_time(double fraction) -> Duration {
-  const auto let_through = std::max(fraction, shortest_fraction);
-  const auto seconds_behind = (1 - let_through) / let_through;
+  const auto admitted = std::max(fraction, min_fraction);
+  const auto seconds_behind = (1 - admitted) / admitted;
   return Duration(static_cast<std::int64_t>(seconds_behind *
                                             static_cast<double>(Duration(seconds(1)).count())));
 }
@@ -73,8 +80,8 @@
 }
 
 void quota_gate::set_limits(const std::vector<TenantDefinition>& limits) {
-  // Totals never run backwards within one life of the daemon: a tenant that is
-  // taken away and comes back goes on with its own.
+  // Totals never decrease while the process runs: a tenant that is removed and
+  // added again goes on with its own.
   for (auto& [name, account] : this->tenants) {
     account.rate = 0;
   }
@@ -82,40 +89,41 @@
     const auto [position, first] = this->tenants.try_emplace(tenant.name);
     auto& account = position->second;
     account.carried = first ? this->random.uniform() : account.carried;
-    account.rate = static_cast<double>(tenant.rate_millis) / thousand;
+    account.rate = static_cast<double>(tenant.rate_millis) / thousandths;
     account.burst = static_cast<double>(tenant.burst);
   }
 }
 
-auto quota_gate::in_touch(TimePoint now) const -> bool {
-  return this->word_asked && now - *this->word_asked < Duration(word_lasts);
+auto quota_gate::has_recent_answer(TimePoint now) const -> bool {
+  return this->answer_asked && now - *this->answer_asked < Duration(answer_valid);
 }
 
-auto quota_gate::daemons() const -> double {
+auto quota_gate::proxy_count() const -> double {
   return std::max<double>(
-      {1, static_cast<double>(this->known_daemons), static_cast<double>(this->reporting_daemons)});
+      {1, static_cast<double>(this->known_proxies), static_cast<double>(this->reporting_proxies)});
 }
 
-auto quota_gate::surges(const tenant_account& account) const -> bool {
+auto quota_gate::is_surge(const tenant_account& account) const -> bool {
   const auto unreported = static_cast<double>(account.arrived - account.arrived_reported);
-  const auto part = account.rate * report_interval_s / this->daemons();
-  return account.fraction >= 1 && unreported >= std::max(least_surge, part * surge_factor);
+  const auto part = account.rate * report_interval_s / this->proxy_count();
+  return account.fraction >= 1 && unreported >= std::max(min_surge_requests, part * surge_factor);
 }
 
-// Whole requests: where the part is below one, some daemons have one and the
-// others none, so that the sum over all of them is right.
-auto quota_gate::own_part(const std::string& tenant, const tenant_account& account) const
+// In whole requests. Where the part is below one, a draw by tenant and proxy
+// gives some proxies one and the others none, so that their sum is right.
+auto quota_gate::equal_part(const std::string& tenant, const tenant_account& account) const
     -> double {
   const auto bound = this->bounds.most_runs(account.rate, account.burst);
-  const auto part = bound * usable_share / this->daemons();
+  const auto part = bound * equal_parts_share / this->proxy_count();
   const auto whole = std::floor(part);
   constexpr std::uint64_t steps = 4096;
   const auto drawn = XXH3_64bits_withSeed(tenant.data(), tenant.size(), this->drawing_seed) % steps;
   return whole + (static_cast<double>(drawn) < (part - whole) * steps ? 1 : 0);
 }
 
-// Carries the fraction from one request to the next: as even as can be.
-auto quota_gate::passes_fraction(tenant_account& account) -> bool {
+// Carries the rest of the fraction from one request to the next, so that the
+// admitted requests are spread evenly.
+auto quota_gate::spend_fraction(tenant_account& account) -> bool {
   if (account.fraction >= 1) {
     return true;
   }
@@ -134,16 +142,16 @@
   }
   auto& account = found->second;
   const auto window = this->bounds.window;
-  const auto alone = !this->in_touch(now);
+  const auto alone = !this->has_recent_answer(now);
   account.arrived += 1;
-  this->surge = this->surge || this->surges(account);
-  if (!passes_fraction(account)) {
+  this->surge = this->surge || this->is_surge(account);
+  if (!spend_fraction(account)) {
     const auto retry_after = excess_time(account.fraction);
-    return {false, alone, std::clamp<Duration>(retry_after, shortest_retry, window)};
+    return {false, alone, std::clamp<Duration>(retry_after, min_retry_after, window)};
   }
-  if (alone && account.recent.count(now, window) >= this->own_part(tenant, account)) {
+  if (alone && account.recent.count(now, window) >= this->equal_part(tenant, account)) {
     const auto retry_after = account.recent.oldest_ends(now, window);
-    return {false, alone, std::clamp<Duration>(retry_after, shortest_retry, window)};
+    return {false, alone, std::clamp<Duration>(retry_after, min_retry_after, window)};
   }
   account.run += 1;
   account.recent.add(1, now, window);
@@ -195,9 +203,8 @@
   if (this->last_report && this->last_report->sequence == sequence) {
     this->confirm(this->last_report->uses);
   }
-  // An answer that took longer than it takes to report again is news all the
-  // same, unless a later one came before it.
-  if (this->word_asked && asked < *this->word_asked) {
+  // Answers to earlier reports are out of date once a later report was answered.
+  if (this->answer_asked && asked < *this->answer_asked) {
     return;
   }
   for (auto& [name, account] : this->tenants) {
@@ -206,11 +213,11 @@
   for (const auto& limited : word.limited) {
     const auto found = this->tenants.find(limited.tenant);
     if (found != this->tenants.end()) {
-      found->second.fraction = static_cast<double>(limited.permille) / thousand;
+      found->second.fraction = static_cast<double>(limited.permille) / thousandths;
     }
   }
-  this->reporting_daemons = word.daemons;
-  this->word_asked = asked;
+  this->reporting_proxies = word.daemons;
+  this->answer_asked = asked;
 }
 
 }  // namespace ramppond
--- a/core/tenants/quota_gate.h
+++ b/core/tenants/quota_gate.h
@@ -1,11 +1,14 @@
-// Which requests of tenants a daemon lets through.
+// Decides which requests of tenants with a limit a proxy admits.
 //
-// In touch with the leader of the control group, it lets through the fraction
-// that the leader gives for each tenant that nears its limit, and all requests
-// of the others. Out of touch, it lets through its equal part of what the bound
-// leaves to all daemons, so that they keep it together without a word between
-// them, and no more than the fraction that it was given last. The time must go
-// on while the machine is suspended. Pure, not thread safe.
+// Input: each request's tenant, the answers of the leader of the coordinators, and the number of
+// proxies (times in microseconds; they must go on while the machine is suspended). Output: admit,
+// or refuse with a time after which to retry. Owns the totals of this proxy's requests by tenant
+// and the reports of them. Pure, not thread safe.
+//
+// While the leader answers, the proxy admits the fraction that the leader gives for each tenant
+// near its limit, and all requests of other tenants. Without recent answers it admits an equal part
+// of what the bound leaves to all proxies, so that they keep the bound without any exchange, and
+// never more than the fraction given last.
 #pragma once
 
 #include <cstdint>
@@ -25,8 +28,8 @@
 
 struct quota_verdict {
   bool admitted = true;
-  bool alone = false;       // decided without a recent word of the leader
-  Duration retry_after{0};  // when the tenant may hope for more, if not admitted
+  bool alone = false;       // decided without a recent answer of the leader
+  Duration retry_after{0};  // when more of the tenant's requests may be admitted; if refused
 };
 
 class quota_gate {
@@ -35,22 +38,21 @@
       : bounds(bounds), random(seed), drawing_seed(random.next()) {}
 
   void set_limits(const std::vector<TenantDefinition>& tenants);
-  /// Daemons that are known without the leader's word.
-  void set_known_daemons(std::size_t count) { this->known_daemons = count; }
+  /// Proxies that are known from their records.
+  void set_known_daemons(std::size_t count) { this->known_proxies = count; }
 
-  /// A request of `tenant` came; if it is admitted it counts as run.
+  /// A request of `tenant` arrived; if it is admitted it counts as run.
   auto ask(const std::string& tenant, TimePoint now) -> quota_verdict;
   /// A request that was admitted has provably not run.
   void on_not_run(const std::string& tenant, TimePoint now);
 
-  /// Whether some tenant has sent so much since the last report that the leader should know before
-  /// the next one is due.
+  /// Whether some tenant has sent so much since the last report that a report is due at once.
   [[nodiscard]] auto surging() const -> bool { return this->surge; }
-  /// Tenants whose totals the leader does not know; empty when no tenant has a
-  /// limit. `daemon` and `incarnation` are the caller's to fill in.
+  /// The totals that the leader has not confirmed; nothing when no tenant has a
+  /// limit. The caller fills in `daemon` and `incarnation`.
   auto report() -> std::optional<quota_report>;
-  /// The leader's answer to the report with that sequence, sent at `asked`. Answers may come in
-  /// any order and after later reports.
+  /// The leader's answer to the report of that sequence number, which was sent at `asked`. Answers
+  /// may come in any order and after later reports.
   void on_word(std::uint64_t sequence, const quota_word& word, TimePoint asked);
 
  private:
@@ -59,7 +61,7 @@
    public:
     void add(double requests, TimePoint now, Duration window);
     [[nodiscard]] auto count(TimePoint now, Duration window) -> double;
-    /// When the oldest of them will lie outside the window.
+    /// Time until the oldest of them lies outside the window.
     [[nodiscard]] auto oldest_ends(TimePoint now, Duration window) const -> Duration;
 
    private:
@@ -71,15 +73,15 @@
     std::deque<slot> slots;
   };
   struct tenant_account {
-    double rate = 0;  // 0: no limit
-    double burst = 0;
+    double rate = 0;   // requests per second; 0 for no limit
+    double burst = 0;  // requests
     std::uint64_t arrived = 0;
     std::uint64_t run = 0;
     std::uint64_t arrived_confirmed = 0;  // by a leader
     std::uint64_t run_confirmed = 0;
     std::uint64_t arrived_reported = 0;
-    double fraction = 1;
-    double carried = 0;  // parts of requests that may be let through
+    double fraction = 1;  // of its requests, given by the leader
+    double carried = 0;   // parts of requests left over from those before
     recent_runs recent;
   };
   struct sent_report {
@@ -87,24 +89,24 @@
     std::vector<tenant_use> uses;
   };
 
-  [[nodiscard]] auto in_touch(TimePoint now) const -> bool;
+  [[nodiscard]] auto has_recent_answer(TimePoint now) const -> bool;
   void confirm(const std::vector<tenant_use>& uses);
-  [[nodiscard]] auto daemons() const -> double;
-  [[nodiscard]] auto surges(const tenant_account& account) const -> bool;
-  [[nodiscard]] auto own_part(const std::string& tenant, const tenant_account& account) const
+  [[nodiscard]] auto proxy_count() const -> double;
+  [[nodiscard]] auto is_surge(const tenant_account& account) const -> bool;
+  [[nodiscard]] auto equal_part(const std::string& tenant, const tenant_account& account) const
       -> double;
-  [[nodiscard]] static auto passes_fraction(tenant_account& account) -> bool;
+  [[nodiscard]] static auto spend_fraction(tenant_account& account) -> bool;
 
   QuotaBounds bounds;
   Random random;
-  std::uint64_t drawing_seed;  // of this daemon's lots
+  std::uint64_t drawing_seed;  // differs between proxies
   std::map<std::string, tenant_account> tenants;
-  std::size_t known_daemons = 0;
-  std::uint32_t reporting_daemons = 0;
-  std::optional<TimePoint> word_asked;  // of the latest word
+  std::size_t known_proxies = 0;
+  std::uint32_t reporting_proxies = 0;
+  std::optional<TimePoint> answer_asked;  // when the report of the latest answer was sent
   std::uint64_t sequence = 0;
   std::optional<sent_report> last_report;
-  bool surge = false;
+  bool surge = false;  // since the last report
 };
 
 }  // namespace ramppond
--- a/core/tenants/quota_ledger.cc
+++ b/core/tenants/quota_ledger.cc
@@ -7,32 +7,39 @@
 namespace {
 
 constexpr auto rate_slot = milliseconds(100);
-// What arrives shows within this time where enough arrives to tell it from
-// chance; a step of a large tenant is met that much sooner.
-constexpr std::int64_t short_slots = 3;
-constexpr double enough_arrivals = 20;
-// The bucket's level is let through, or paid back, over this time: several
-// times what a report and its answer take, so that a sudden start does not run
-// a whole burst before it is known.
-constexpr auto level_time = seconds(2);
-// Until then a new leader has not heard from all daemons, which report every
-// quarter of a second.
-constexpr auto first_reports = milliseconds(400);
-// A daemon that does not report may be cut off and use what it may use alone.
+// The arrival rate is the higher one of the last second and of these last slots,
+// if at least this many requests arrived in them: a step of a large tenant is
+// met sooner, while chance does not move a small one.
+constexpr std::int64_t short_rate_slots = 3;
+constexpr double min_short_rate_arrivals = 20;
+// The level of a bucket is spent, or paid back, over this time. Shorter, a sudden
+// start runs a whole burst before its reports arrive; longer, a tenant waits for
+// tokens that it has.
+constexpr auto level_spending_time = seconds(2);
+// A new leader answers no earlier: proxies report every 250 ms, so it has not
+// heard from all of them before. Longer, proxies fall back to equal parts.
+constexpr auto first_reports_time = milliseconds(400);
+// A proxy that has not reported for this time may be cut off, and may admit its
+// equal part of the bound.
 constexpr auto silent_after = milliseconds(800);
-// Then it is taken for gone: servers are removed every day.
-constexpr auto gone_after = seconds(15);
-// Of the bound, while some daemons do not report. The rest is for what reports
-// tell late.
-constexpr double usable_share = 0.85;
-// What arrives is taken for less by so many standard deviations of its count
-// in a second, the fuller the bucket: a tenant near its limit is not refused by
-// chance while it has tokens.
-constexpr double chance_deviations = 1.5;
-// Of a burst. What a sudden start runs before it is known comes on top of it.
-constexpr double usable_burst = 0.85;
-constexpr double thousand = 1000;
-constexpr std::size_t most_daemons = 20000;
+// A silent proxy is taken for removed after this time. Shorter, a proxy that is
+// cut off for long and the others exceed the bound together; longer, the others
+// refuse requests on behalf of a proxy that is gone.
+constexpr auto removed_after = seconds(15);
+// Of the bound, while some proxies are silent. The rest is for requests that are
+// reported late.
+constexpr double usable_bound_share = 0.85;
+// The arrival rate counts for less by this many standard deviations of its count
+// in a second, in proportion to the level of the bucket: a tenant near its limit
+// is not refused by chance while it has tokens. Higher, real excess is let
+// through.
+constexpr double tolerated_deviations = 1.5;
+// Of a burst; the rest is for requests that a sudden start runs before they are
+// reported.
+constexpr double usable_burst_share = 0.85;
+constexpr double thousandths = 1000;
+// Bounds memory: reports of further proxies are not counted.
+constexpr std::size_t max_proxies = 20000;
 
 auto in_seconds(Duration time) -> double {
   return std::chrono::duration<double>(time).count();
@@ -65,10 +72,10 @@
     }
     const auto requests = this->slots.at(static_cast<std::size_t>(number) % slot_count);
     all += requests;
-    recent += i < short_slots ? requests : 0;
+    recent += i < short_rate_slots ? requests : 0;
   }
-  const auto short_rate = recent / (in_seconds(rate_slot) * static_cast<double>(short_slots));
-  return recent >= enough_arrivals ? std::max(all, short_rate) : all;
+  const auto short_rate = recent / (in_seconds(rate_slot) * static_cast<double>(short_rate_slots));
+  return recent >= min_short_rate_arrivals ? std::max(all, short_rate) : all;
 }
 
 void quota_ledger::set_limits(const std::vector<TenantDefinition>& limits, TimePoint now) {
@@ -83,8 +90,8 @@
       account = known->second;
       fill(account, now);
     }
-    account.rate = static_cast<double>(tenant.rate_millis) / thousand;
-    account.burst = usable_burst * static_cast<double>(tenant.burst);
+    account.rate = static_cast<double>(tenant.rate_millis) / thousandths;
+    account.burst = usable_burst_share * static_cast<double>(tenant.burst);
     account.level = std::min(account.level, account.burst);
     next.emplace(tenant.name, account);
   }
@@ -93,7 +100,7 @@
 
 void quota_ledger::restart(TimePoint now) {
   this->started = now;
-  this->daemons.clear();
+  this->proxies.clear();
   for (auto& [name, account] : this->tenants) {
     account.level = 0;
     account.filled = now;
@@ -108,25 +115,25 @@
 }
 
 void quota_ledger::on_report(const quota_report& report, TimePoint now) {
-  if (this->daemons.size() >= most_daemons && this->daemons.count(report.daemon) == 0) {
+  if (this->proxies.size() >= max_proxies && this->proxies.count(report.daemon) == 0) {
     return;
   }
-  auto& daemon = this->daemons[report.daemon];
-  if (daemon.incarnation != report.incarnation) {
-    daemon = {report.incarnation, 0, now, {}};
+  auto& proxy = this->proxies[report.daemon];
+  if (proxy.incarnation != report.incarnation) {
+    proxy = {report.incarnation, 0, now, {}};
   }
-  if (report.sequence <= daemon.sequence) {
+  if (report.sequence <= proxy.sequence) {
     return;
   }
-  daemon.sequence = report.sequence;
-  daemon.heard = now;
+  proxy.sequence = report.sequence;
+  proxy.last_report = now;
   for (const auto& use : report.uses) {
-    this->note_use(daemon, use, now);
+    this->count_use(proxy, use, now);
   }
 }
 
-void quota_ledger::note_use(daemon_account& daemon, const tenant_use& use, TimePoint now) {
-  const auto [known, first] = daemon.uses.try_emplace(use.tenant, use);
+void quota_ledger::count_use(proxy_account& proxy, const tenant_use& use, TimePoint now) {
+  const auto [known, first] = proxy.uses.try_emplace(use.tenant, use);
   const auto arrived_before = first ? use.arrived_confirmed : known->second.arrived;
   const auto run_before = first ? use.run_confirmed : known->second.run;
   const auto arrived = static_cast<double>(use.arrived) - static_cast<double>(arrived_before);
@@ -141,55 +148,55 @@
   account->second.arrivals.add(std::max(arrived, 0.0), now);
 }
 
-auto quota_ledger::count_daemons(TimePoint now) -> fleet {
+auto quota_ledger::count_proxies(TimePoint now) -> fleet {
   auto counted = fleet();
-  for (auto it = this->daemons.begin(); it != this->daemons.end();) {
-    const auto silence = now - it->second.heard;
-    if (silence > gone_after) {
-      it = this->daemons.erase(it);
+  for (auto it = this->proxies.begin(); it != this->proxies.end();) {
+    const auto silence = now - it->second.last_report;
+    if (silence > removed_after) {
+      it = this->proxies.erase(it);
       continue;
     }
-    (silence > silent_after ? counted.silent : counted.heard) += 1;
+    (silence > silent_after ? counted.silent : counted.reporting) += 1;
     ++it;
   }
   return counted;
 }
 
-// Daemons that are cut off go on with their equal part of the whole bound; the
-// others leave room for that, as far as the bound does not have it anyway.
-auto quota_ledger::usable_rate(const tenant_account& account, const fleet& daemons) const
+// Proxies that are cut off go on with their equal part of the whole bound. The
+// others leave room for them, as far as the bound has no room beyond the limit.
+auto quota_ledger::usable_rate(const tenant_account& account, const fleet& proxies) const
     -> double {
   const auto bound = this->bounds.most_runs(account.rate, account.burst);
-  const auto all = std::max<double>(1, daemons.heard + daemons.silent);
-  const auto heard_share = daemons.heard / all;
+  const auto all = std::max<double>(1, proxies.reporting + proxies.silent);
+  const auto reporting_share = proxies.reporting / all;
   const auto room =
-      (bound * usable_share * heard_share - account.burst) / this->bounds.window_length();
+      (bound * usable_bound_share * reporting_share - account.burst) / this->bounds.window_length();
   return std::clamp(room, 0.0, account.rate);
 }
 
-auto quota_ledger::fraction(tenant_account& account, const fleet& daemons, TimePoint now)
+auto quota_ledger::fraction(tenant_account& account, const fleet& proxies, TimePoint now)
     -> double {
   fill(account, now);
   const auto arriving = account.arrivals.per_second(now);
   const auto fullness = account.burst > 0 ? account.level / account.burst : 0;
-  const auto deviations = chance_deviations * std::clamp(fullness, 0.0, 1.0);
+  const auto deviations = tolerated_deviations * std::clamp(fullness, 0.0, 1.0);
   const auto wanted = std::max(0.0, arriving - deviations * std::sqrt(arriving));
-  const auto allowed =
-      std::max(0.0, this->usable_rate(account, daemons) + account.level / in_seconds(level_time));
+  const auto allowed = std::max(
+      0.0, this->usable_rate(account, proxies) + account.level / in_seconds(level_spending_time));
   return wanted <= allowed ? 1 : allowed / wanted;
 }
 
 auto quota_ledger::word(TimePoint now) -> std::optional<quota_word> {
-  if (now - this->started < Duration(first_reports)) {
+  if (now - this->started < Duration(first_reports_time)) {
     return std::nullopt;
   }
-  const auto counted = this->count_daemons(now);
+  const auto counted = this->count_proxies(now);
   auto word = quota_word();
-  word.daemons = counted.heard + counted.silent;
+  word.daemons = counted.reporting + counted.silent;
   for (auto& [name, account] : this->tenants) {
-    const auto permille =
-        static_cast<std::uint32_t>(std::lround(this->fraction(account, counted, now) * thousand));
-    if (permille < thousand) {
+    const auto permille = static_cast<std::uint32_t>(
+        std::lround(this->fraction(account, counted, now) * thousandths));
+    if (permille < thousandths) {
       word.limited.push_back({name, permille});
     }
   }
--- a/core/tenants/quota_ledger.h
+++ b/core/tenants/quota_ledger.h
@@ -1,11 +1,12 @@
-// How many requests of each tenant run on all daemons together, and which
-// fraction of them may.
+// Decides which fraction of each tenant's requests the proxies may admit.
 //
-// Kept by the leader of the control group from the daemons' reports, in memory
-// only: a new leader begins with empty buckets, which never lets through more.
-// Each tenant has a token bucket that is filled at its rate up to its burst and
-// pays for what ran; the fraction follows from the bucket's level and from what
-// arrives. Pure, not thread safe.
+// Input: the proxies' reports, with the time of their arrival, and the limits in force. Output: for
+// each tenant near its limit a fraction in thousandths. Owns a token bucket and an arrival rate for
+// each tenant and the last totals of each proxy, in memory of the coordinators' leader only: a new
+// leader begins with empty buckets, which never admits more than the limit. Pure, not thread safe.
+//
+// A tenant's bucket is filled at its rate up to its burst and pays for what ran. The fraction
+// follows from the level of the bucket and from what arrives.
 #pragma once
 
 #include <array>
@@ -28,15 +29,16 @@
 
   /// The limits in force; tenants without one are not counted.
   void set_limits(const std::vector<TenantDefinition>& tenants, TimePoint now);
-  /// Forgets all that was reported: another member led meanwhile.
+  /// Forgets all reports: another coordinator was the leader meanwhile.
   void restart(TimePoint now);
   void on_report(const quota_report& report, TimePoint now);
 
-  /// Nothing until daemons have had time to report since the last restart().
+  /// The fractions at present; nothing until the proxies had time to report since the last
+  /// restart().
   [[nodiscard]] auto word(TimePoint now) -> std::optional<quota_word>;
 
  private:
-  // Requests by the moment at which they were reported, over the last second.
+  // Requests over the last second, by the time of their report.
   class arrival_rate {
    public:
     void add(double requests, TimePoint now);
@@ -49,35 +51,35 @@
     std::int64_t latest = 0;
   };
   struct tenant_account {
-    double rate = 0;   // tokens a second
-    double burst = 0;  // most tokens held
-    double level = 0;  // tokens; below 0 when more ran than was let through
+    double rate = 0;   // tokens per second, one token a request
+    double burst = 0;  // tokens that the bucket holds
+    double level = 0;  // tokens; below 0 when more ran than the bucket held
     TimePoint filled{0};
     arrival_rate arrivals;
   };
-  struct daemon_account {
+  struct proxy_account {
     std::uint64_t incarnation = 0;
     std::uint64_t sequence = 0;
-    TimePoint heard{0};
+    TimePoint last_report{0};
     std::map<std::string, tenant_use> uses;  // as last reported
   };
   struct fleet {
-    std::uint32_t heard = 0;
+    std::uint32_t reporting = 0;
     std::uint32_t silent = 0;
   };
 
   static void fill(tenant_account& account, TimePoint now);
-  void note_use(daemon_account& daemon, const tenant_use& use, TimePoint now);
-  [[nodiscard]] auto count_daemons(TimePoint now) -> fleet;
-  [[nodiscard]] auto usable_rate(const tenant_account& account, const fleet& daemons) const
+  void count_use(proxy_account& proxy, const tenant_use& use, TimePoint now);
+  [[nodiscard]] auto count_proxies(TimePoint now) -> fleet;
+  [[nodiscard]] auto usable_rate(const tenant_account& account, const fleet& proxies) const
       -> double;
-  [[nodiscard]] auto fraction(tenant_account& account, const fleet& daemons, TimePoint now)
+  [[nodiscard]] auto fraction(tenant_account& account, const fleet& proxies, TimePoint now)
       -> double;
 
   QuotaBounds bounds;
   TimePoint started{0};
   std::map<std::string, tenant_account> tenants;
-  std::map<std::string, daemon_account> daemons;
+  std::map<std::string, proxy_account> proxies;  // by address
 };
 
 }  // namespace ramppond
--- a/core/tenants/quota_messages.h
+++ b/core/tenants/quota_messages.h
@@ -1,8 +1,8 @@
-// What daemons tell the leader of the requests of tenants, and what it answers.
+// What proxies report to the leader of the coordinators about tenants' requests, and its answer.
 //
-// Reports hold totals since the daemon's start, so that one that is lost,
-// doubled or late changes nothing, and the totals that a leader has confirmed,
-// so that a new leader does not count them again.
+// Reports hold totals since the proxy's start, so a report that is lost, doubled or late changes
+// nothing. They also hold the totals that a leader has confirmed, so a new leader doesn't count
+// those requests again.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +13,8 @@
 
 struct tenant_use {
   std::string tenant;
-  std::uint64_t arrived = 0;  // requests, those that were refused included
-  std::uint64_t run = 0;      // requests that were let through, less those that did not run
+  std::uint64_t arrived = 0;  // requests, refused ones included
+  std::uint64_t run = 0;      // requests admitted, less those that provably did not run
   std::uint64_t arrived_confirmed = 0;
   std::uint64_t run_confirmed = 0;
 
@@ -29,9 +29,9 @@
 };
 
 struct quota_report {
-  std::string daemon;  // HOST:PORT where it takes requests of its peers
-  std::uint64_t incarnation = 0;
-  std::uint64_t sequence = 0;  // rises with each report
+  std::string daemon;             // HOST:PORT where the proxy takes requests of its peers
+  std::uint64_t incarnation = 0;  // of the proxy's process
+  std::uint64_t sequence = 0;     // rises with each report
   std::vector<tenant_use> uses;
 
   template <class Visitor>
@@ -45,7 +45,7 @@
 
 struct tenant_fraction {
   std::string tenant;
-  std::uint32_t permille = 1000;  // of its requests that may be let through
+  std::uint32_t permille = 1000;  // of its requests that may be admitted
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -54,9 +54,10 @@
   }
 };
 
+/// The leader's answer to a report.
 struct quota_word {
-  std::uint32_t daemons = 0;             // that report
-  std::vector<tenant_fraction> limited;  // all requests of any other tenant may be let through
+  std::uint32_t daemons = 0;             // proxies that report or did lately
+  std::vector<tenant_fraction> limited;  // requests of all other tenants may be admitted
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
--- a/core/tenants/tenant_rank.h
+++ b/core/tenants/tenant_rank.h
@@ -1,8 +1,9 @@
-// The rank of a request among all that want the same servers.
+// Decides the rank of a request among all that want the same servers.
 //
-// The priority of its tenant goes before that of its route. A request without a
-// tenant, such as a call of a server, ranks as if sent by the usual tenant: the
-// priority that most tenants have. Pure.
+// Input: the request's tenant and the priority of its route. Output: a rank, 0 the most urgent; the
+// tenant's priority counts before the route's. A request without a tenant, such as a call of a
+// server, ranks as if its tenant had the priority that most tenants have. Owns the priorities in
+// use. Pure; any thread may read.
 #pragma once
 
 #include <algorithm>
@@ -22,17 +23,17 @@
     for (const auto& tenant : tenants) {
       const auto count = ++holders[tenant.priority];
       this->priorities.insert(tenant.priority);
-      this->usual = count > holders[this->usual] ? tenant.priority : this->usual;
+      this->most_common = count > holders[this->most_common] ? tenant.priority : this->most_common;
     }
     if (this->priorities.empty()) {
-      this->priorities.insert(this->usual);
+      this->priorities.insert(this->most_common);
     }
   }
 
   /// 0 is the most urgent. `tenant` may be nullptr.
   [[nodiscard]] auto of(const TenantDefinition* tenant, std::uint32_t route_priority) const
       -> std::uint32_t {
-    return combine(tenant == nullptr ? this->usual : tenant->priority, route_priority);
+    return combine(tenant == nullptr ? this->most_common : tenant->priority, route_priority);
   }
 
   /// The ranks that requests to a route of this priority may have.
@@ -45,15 +46,16 @@
   }
 
  private:
-  static constexpr std::uint32_t most_priorities = 1000;
+  // Larger priorities count as the largest.
+  static constexpr std::uint32_t priority_count = 1000;
 
   static auto combine(std::uint32_t tenant, std::uint32_t route) -> std::uint32_t {
-    return std::min(tenant, most_priorities - 1) * most_priorities +
-           std::min(route, most_priorities - 1);
+    return std::min(tenant, priority_count - 1) * priority_count +
+           std::min(route, priority_count - 1);
   }
 
   std::set<std::uint32_t> priorities;
-  std::uint32_t usual = 0;
+  std::uint32_t most_common = 0;  // priority of tenants
 };
 
 }  // namespace ramppond
