--- a/core/distribution/instance_record.h
+++ b/core/distribution/instance_record.h
@@ -1,4 +1,5 @@
-// A daemon's word on the server beside it, as it travels between daemons and control members.
+// The record of a server that the proxy beside it writes, as it travels between proxies and
+// coordinators. Pure data.
 #pragma once
 
 #include <cstdint>
@@ -9,20 +10,19 @@
 namespace ramppond {
 
 enum class InstanceState : std::uint8_t {
-  kNone = 0,      ///< The daemon knows of no server beside it, or the server is gone.
+  kNone = 0,      ///< The proxy knows no server beside it, or the server has ended.
   kReady = 1,     ///< Takes requests.
-  kDraining = 2,  ///< Is leaving: takes no new requests.
-  kStopping =
-      3,  ///< The server stays, but its daemon is being stopped: only when no other is left.
+  kDraining = 2,  ///< Is leaving and takes no new requests.
+  kStopping = 3,  ///< Its proxy is stopping: chosen only if no other is left.
 };
 
-/// A daemon's word on the server beside it.
+/// Written by one proxy only, so the higher (incarnation, revision) is the newer one.
 struct InstanceRecord {
-  std::string daemon_address;     ///< HOST:PORT where the daemon takes requests of its peers.
-  std::uint64_t incarnation = 0;  ///< Of the daemon's process; a later start has a higher one.
-  std::uint64_t revision = 0;     ///< Rises with every change within an incarnation.
+  std::string daemon_address;     ///< HOST:PORT where the proxy takes requests of its peers.
+  std::uint64_t incarnation = 0;  ///< Of the proxy's process; a later start has a higher one.
+  std::uint64_t revision = 0;     ///< Rises with every change within a process.
   std::string zone;
-  std::string instance_id;  ///< The incarnation of the server; see core/lifecycle/local_server.h.
+  std::string instance_id;  ///< Name of the server's incarnation; core/lifecycle/local_server.h.
   std::string service;
   std::uint32_t slots = 0;  ///< Requests that the server works on at a time.
   InstanceState state = InstanceState::kNone;
--- a/core/distribution/instance_registry.cc
+++ b/core/distribution/instance_registry.cc
@@ -39,15 +39,15 @@
   const std::vector<bool> agree = bucketsThatAgree(known);
   RegistryChanges changes;
   for (auto change = changes_.upper_bound(since); change != changes_.end(); ++change) {
-    const auto& [counter, daemon] = *change;
-    if (agree[record_digests::bucket_of(daemon)]) {
+    const auto& [counter, proxy] = *change;
+    if (agree[record_digests::bucket_of(proxy)]) {
       continue;
     }
     if (changes.records.size() == most) {
       return changes;
     }
     changes.records.emplace_back();
-    changes.records.back().bytes = records_.at(daemon).encoded;
+    changes.records.back().bytes = records_.at(proxy).encoded;
     changes.counter = counter;
   }
   changes.counter = counter_;
--- a/core/distribution/member_ranking.cc
+++ b/core/distribution/member_ranking.cc
@@ -8,17 +8,17 @@
 namespace ramppond {
 namespace {
 
-// A member that was restarted is back within seconds, and one that is gone leaves the membership
-// after three. One that is cut off from the others answers without authority for as long as the cut
-// lasts, mostly less than this.
+// Pause before a proxy returns to its failed first choice, doubled with each return that failed. A
+// coordinator that was restarted, replaced or cut off is mostly back by then. Shorter: proxies ask
+// one that still fails. Longer: they stay with others, mostly in other zones.
 constexpr auto return_pause = seconds(10);
-constexpr auto most_doublings = std::uint32_t(2);
-// A member that joins is handed its share of the daemons over this time: each of them costs it a
-// connection and an answer.
+constexpr auto max_return_doublings = std::uint32_t(2);
+// A coordinator that joins gets its share of the proxies over this time. Shorter: connections and
+// first answers of all of them at once. Longer: it stays idle.
 constexpr auto move_spread = seconds(5);
-// All members may have been replaced while this daemon was cut off: some addresses of before are
-// asked when no other answers. Each that is gone costs half a second in a row of failures.
-constexpr auto most_former = std::size_t(4);
+// Former addresses that are asked when no other answers, since all coordinators may have been
+// replaced while this proxy was cut off. Each one that is gone costs the time of a failed poll.
+constexpr auto max_former = std::size_t(4);
 
 auto weight(std::uint64_t key, const std::string& member) -> std::uint64_t {
   return XXH3_64bits_withSeed(member.data(), member.size(), key);
@@ -30,8 +30,8 @@
 
 }  // namespace
 
-member_ranking::member_ranking(ranking_daemon daemon, const std::vector<std::string>& seeds)
-    : daemon(std::move(daemon)), random(this->daemon.key), seeds(seeds) {
+member_ranking::member_ranking(ranked_proxy proxy, const std::vector<std::string>& seeds)
+    : proxy(std::move(proxy)), random(this->proxy.key), seeds(seeds) {
   this->rank(std::string());
 }
 
@@ -47,13 +47,13 @@
   if (members.empty() || members == this->members) {
     return;
   }
-  const auto first_told = this->members.empty();
+  const auto first_report = this->members.empty();
   const auto asked = this->order.empty() ? std::string() : this->current();
   this->members = std::move(members);
   this->rank(asked);
   this->failed_returns = 0;
   if (this->position != 0) {
-    this->schedule_return(now, Duration(0), first_told ? Duration(0) : Duration(move_spread));
+    this->schedule_return(now, Duration(0), first_report ? Duration(0) : Duration(move_spread));
   }
 }
 
@@ -66,7 +66,7 @@
     return;
   }
   if (this->position == 0) {
-    const auto doublings = std::min(this->failed_returns, most_doublings);
+    const auto doublings = std::min(this->failed_returns, max_return_doublings);
     const auto pause = Duration(return_pause) * (std::int64_t(1) << doublings);
     this->schedule_return(now, pause, pause);
     this->failed_returns += 1;
@@ -94,14 +94,14 @@
       this->former.push_back(member);
     }
   }
-  if (this->former.size() > most_former) {
-    this->former.erase(this->former.begin(), this->former.end() - most_former);
+  if (this->former.size() > max_former) {
+    this->former.erase(this->former.begin(), this->former.end() - max_former);
   }
   this->order.clear();
   auto near = std::vector<std::string>();
   auto far = std::vector<std::string>();
   for (const auto& member : this->members) {
-    const auto is_near = !member.zone.empty() && member.zone == this->daemon.zone;
+    const auto is_near = !member.zone.empty() && member.zone == this->proxy.zone;
     (is_near ? near : far).push_back(member.address);
   }
   this->rank_group(near);
@@ -122,7 +122,7 @@
     }
   }
   std::sort(added.begin(), added.end(), [this](const auto& left, const auto& right) {
-    return weight(this->daemon.key, left) > weight(this->daemon.key, right);
+    return weight(this->proxy.key, left) > weight(this->proxy.key, right);
   });
   this->order.insert(this->order.end(), added.begin(), added.end());
 }
--- a/core/distribution/proxy_messages.h
+++ b/core/distribution/proxy_messages.h
@@ -1,5 +1,5 @@
-// What daemons of the forwarding path and control members tell each other about the traffic
-// configuration and the servers. Carried inside ControlRequest and ControlReply.
+// Messages between proxies and coordinators about the traffic configuration, the servers and
+// crashes. Carried inside ControlRequest and ControlReply. Pure data; field numbers are fixed.
 #pragma once
 
 #include <cstdint>
@@ -13,23 +13,23 @@
 
 namespace ramppond {
 
-/// A daemon's question; the answer may be held until there is news. Control members ask each
-/// other the same way, without a record of their own.
+/// The question of a proxy; the answer may be held until there is news. Coordinators ask each other
+/// in the same form, without a record of their own.
 struct ProxyPoll {
   bool has_self = false;
-  InstanceRecord self;                      ///< The asking daemon's own record.
+  InstanceRecord self;                      ///< The asking proxy's own record.
   std::uint64_t traffic_index = 0;          ///< Log index of the configuration held; 0 for none.
-  std::uint64_t registry_epoch = 0;         ///< Of the member whose counter follows.
-  std::uint64_t registry_counter = 0;       ///< That member's records are known up to here.
+  std::uint64_t registry_epoch = 0;         ///< Of the coordinator whose counter follows.
+  std::uint64_t registry_counter = 0;       ///< Its records are known up to here.
   Duration hold{0};                         ///< How long the answer may wait for news.
   bool wants_proof = false;                 ///< The answer is to be confirmed by a quorum.
-  std::vector<instance_evidence> evidence;  ///< That the member may not know.
-  std::string evidence_service;             ///< A daemon is told the evidence of this service.
+  std::vector<instance_evidence> evidence;  ///< That the coordinator may not know.
+  std::string evidence_service;             ///< Evidence of this service is wanted.
   std::uint64_t evidence_counter = 0;       ///< Known up to here, as registry_counter is.
-  /// Of the records held, told to a member whose counter is not known; see record_digests.
+  /// Of the records held, for a coordinator whose counter is not known; see record_digests.
   std::vector<std::uint64_t> record_digests;
-  bool takes_differences = false;    ///< A configuration may be told by a difference.
-  std::uint64_t members_digest = 0;  ///< Of the members that are known; see digestOf().
+  bool takes_differences = false;    ///< A configuration may come as a difference.
+  std::uint64_t members_digest = 0;  ///< Of the coordinators that are known; see digestOf().
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -49,9 +49,10 @@
   }
 };
 
-/// The log index that a poll gives which wants no configuration.
+/// The traffic_index of a poll that wants no configuration.
 constexpr std::uint64_t kNoTrafficWanted = ~std::uint64_t{0};
 
+/// The answer to a ProxyPoll.
 struct ProxyNews {
   std::uint64_t traffic_index = 0;  ///< Of `traffic` or `traffic_difference`; 0 for no news.
   std::string traffic;              ///< An encoded TrafficConfiguration.
@@ -59,8 +60,8 @@
   std::uint64_t registry_epoch = 0;
   std::uint64_t registry_counter = 0;
   std::vector<Preencoded<InstanceRecord>> instances;
-  /// Control members, HOST:PORT; none where those that are known have not changed. A member that
-  /// asks is told the one that answers only: the others it has from the log.
+  /// Coordinators, HOST:PORT; none if those that the asker knows have not changed. A coordinator
+  /// that asks gets the answering one only, since it has the others from the log.
   std::vector<std::string> member_addresses;
   std::uint64_t evidence_counter = 0;
   std::vector<instance_evidence> evidence;
@@ -81,7 +82,7 @@
   }
 };
 
-/// Where a control member is.
+/// The address and zone of a coordinator.
 struct ControlMemberPlace {
   std::string address;  ///< HOST:PORT.
   std::string zone;     ///< Empty for unknown.
@@ -91,9 +92,9 @@
   }
 };
 
-/// The members that `news` names.
+/// The coordinators that `news` names.
 std::vector<ControlMemberPlace> placesOf(const ProxyNews& news);
-/// Whatever the order of `members`; never 0.
+/// A digest of `members`, independent of their order; never 0.
 std::uint64_t digestOf(std::vector<ControlMemberPlace> members);
 
 }  // namespace ramppond
--- a/core/distribution/proxy_session.cc
+++ b/core/distribution/proxy_session.cc
@@ -8,15 +8,17 @@
 namespace ramppond {
 namespace {
 
+// Pause after a failed poll, doubled after every third in a row, with a random addition.
 constexpr Duration kShortestBackoff = milliseconds(50);
 constexpr std::uint64_t kBackoffSpreadUs = 50000;
-// Versions must arrive within seconds, also after several failed polls in a row.
+constexpr std::uint32_t kFailuresPerDoubling = 3;
+// More: a configuration arrives seconds late after several failed polls.
 constexpr std::uint32_t kMaximumDoublings = 3;
-// A member that is cut off from its leader hears of it only after some time: whoever needs proof
-// leaves it before.
-constexpr std::uint32_t kMostUnprovenAnswers = 2;
-// More records in one answer than usually change within a second: the member is handing out all,
-// and is told what of it is known. Costs 0.6 KB a poll.
+// Answers without proof in a row before another coordinator is asked: one that is cut off from the
+// leader notices that late. At 1, each lost proof makes the proxy move.
+constexpr std::uint32_t kMaximumUnprovenAnswers = 2;
+// Records in one answer from which on the coordinator seems to send all; the next poll sends
+// digests, so that it leaves out known ones. Smaller: digests go along with ordinary changes.
 constexpr std::size_t kManyRecords = 64;
 
 }  // namespace
@@ -38,57 +40,74 @@
   record_.revision = revision_;
   digests_.put(record_);
   has_record_ = true;
-  record_untold_ = true;
+  record_unreported_ = true;
 }
 
 void ProxySession::tellEvidence(const instance_evidence& evidence, TimePoint now) {
-  evidence_untold_ = evidence_.offer(evidence, now) || evidence_untold_;
+  evidence_unreported_ = evidence_.offer(evidence, now) || evidence_unreported_;
 }
 
 void ProxySession::setSeeds(const std::vector<std::string>& seeds) {
   members_.set_seeds(seeds);
 }
 
-std::optional<OutgoingPoll> ProxySession::takePoll(TimePoint now) {
+bool ProxySession::isPollDue(TimePoint now) const {
+  if (members_.empty()) {
+    return false;
+  }
   const bool under_way = poll_id_ != 0;
-  if (members_.empty() || (under_way && !record_untold_ && !evidence_untold_) ||
-      (!under_way && now < next_poll_)) {
+  return under_way ? record_unreported_ || evidence_unreported_ : now >= next_poll_;
+}
+
+std::optional<OutgoingPoll> ProxySession::takePoll(TimePoint now) {
+  if (!isPollDue(now)) {
     return std::nullopt;
   }
-  if (!under_way && members_.return_if_due(now)) {
+  if (poll_id_ == 0 && members_.return_if_due(now)) {
     forgetMember();
     member_untried_ = true;
   }
+  const ProxyPoll poll = makePoll(now);
+  OutgoingPoll outgoing;
+  outgoing.address = members_.current();
+  outgoing.poll_id = next_poll_id_++;
+  outgoing.timeout = poll.hold + options_.answer_margin;
+  outgoing.request.type = ControlRequestType::kProxyPoll;
+  outgoing.request.proxy_poll = encode(poll);
+  poll_id_ = outgoing.poll_id;
+  record_unreported_ = false;
+  evidence_unreported_ = false;
+  evidence_in_poll_ = evidence_.counter();
+  return outgoing;
+}
+
+ProxyPoll ProxySession::makePoll(TimePoint now) const {
   ProxyPoll poll;
   poll.has_self = has_record_;
   poll.self = record_;
   poll.traffic_index = traffic_index_;
   poll.registry_epoch = registry_epoch_;
   poll.registry_counter = registry_counter_;
+  poll.hold = holdOfPoll();
   poll.wants_proof = options_.wants_proof;
-  poll.members_digest = members_digest_;
-  poll.evidence = evidence_.changes_since(evidence_told_, std::string(), now);
+  poll.evidence = evidence_.changes_since(evidence_reported_, std::string(), now);
   poll.evidence_service = evidence_service_;
   poll.evidence_counter = evidence_counter_;
   if (whole_registry_due_) {
     poll.record_digests = digests_.buckets();
   }
   poll.takes_differences = hasTraffic() && !whole_traffic_due_;
-  evidence_telling_ = evidence_.counter();
-  evidence_untold_ = false;
-  // After a failure the first question is what was missed, not what comes next. A member that may
-  // be gone is not waited for longer than an answer takes.
-  poll.hold = failures_ == 0 && !member_untried_ ? options_.hold : Duration(0);
-  poll.hold = hasTraffic() ? poll.hold : options_.first_hold;
-  OutgoingPoll outgoing;
-  outgoing.address = members_.current();
-  outgoing.poll_id = next_poll_id_++;
-  outgoing.timeout = poll.hold + options_.answer_margin;
-  outgoing.request.type = ControlRequestType::kProxyPoll;
-  outgoing.request.proxy_poll = encode(poll);
-  poll_id_ = outgoing.poll_id;
-  record_untold_ = false;
-  return outgoing;
+  poll.members_digest = members_digest_;
+  return poll;
+}
+
+// After a failure the next answer must come at once: changes may have been missed, and the
+// coordinator may be down.
+Duration ProxySession::holdOfPoll() const {
+  if (!hasTraffic()) {
+    return options_.first_hold;
+  }
+  return failures_ == 0 && !member_untried_ ? options_.hold : Duration(0);
 }
 
 std::optional<TimePoint> ProxySession::nextPoll() const {
@@ -105,7 +124,7 @@
   }
   if (!news) {
     if (current) {
-      record_untold_ = has_record_;
+      record_unreported_ = has_record_;
       tryNextMember(now);
     }
     return false;
@@ -113,9 +132,9 @@
   onLeaderNamed(reply->leader_address);
   const bool member_restarted = registry_epoch_ != 0 && news->registry_epoch != registry_epoch_;
   if (member_restarted) {
-    evidence_told_ = 0;
+    evidence_reported_ = 0;
   } else if (current) {
-    evidence_told_ = evidence_telling_;
+    evidence_reported_ = evidence_in_poll_;
   }
   takeEvidenceNews(*news, now);
   takeNews(*news, reply->authoritative);
@@ -129,10 +148,10 @@
 bool ProxySession::takeCurrentAnswer(const ControlReply& reply, TimePoint now) {
   unproven_answers_ = reply.quorum_confirmed ? 0 : unproven_answers_ + 1;
   const bool proof_missing =
-      options_.wants_proof && hasTraffic() && unproven_answers_ >= kMostUnprovenAnswers;
+      options_.wants_proof && hasTraffic() && unproven_answers_ >= kMaximumUnprovenAnswers;
   if (!reply.authoritative || proof_missing) {
     unproven_answers_ = 0;
-    record_untold_ = has_record_;
+    record_unreported_ = has_record_;
     tryNextMember(now);
     return false;
   }
@@ -163,8 +182,8 @@
   registry_epoch_ = news.registry_epoch;
   registry_counter_ = news.registry_counter;
   whole_registry_due_ = news.instances.size() >= kManyRecords;
-  for (const auto& told : news.instances) {
-    const InstanceRecord& record = told.value;
+  for (const auto& received : news.instances) {
+    const InstanceRecord& record = received.value;
     if (has_record_ && record.daemon_address == record_.daemon_address) {
       outdateOwnRecord(record);
     } else {
@@ -184,7 +203,7 @@
 
 void ProxySession::takeNews(const ProxyNews& news, bool authoritative) {
   takeRecords(news);
-  // A member that hears no leader may hold an old version; an older one than ours is never taken.
+  // A coordinator that hears no leader may hold an old version.
   if (!authoritative || news.traffic_index <= traffic_index_) {
     return;
   }
@@ -198,19 +217,19 @@
   }
 }
 
-// What a member tells it knows: that is not told back.
+// What a coordinator sent is known there and is not reported back.
 void ProxySession::takeEvidenceNews(const ProxyNews& news, TimePoint now) {
   evidence_counter_ = news.evidence_counter;
-  const bool all_told = evidence_told_ == evidence_.counter();
+  const bool all_reported = evidence_reported_ == evidence_.counter();
   for (const instance_evidence& evidence : news.evidence) {
     if (evidence_.offer(evidence, now)) {
       evidence_news_.push_back(evidence);
     }
   }
-  evidence_told_ = all_told ? evidence_.counter() : evidence_told_;
+  evidence_reported_ = all_reported ? evidence_.counter() : evidence_reported_;
 }
 
-// An earlier process of this daemon used a number as high as ours (its clock ran ahead): go above.
+// An earlier process of this proxy used a number as high as this one (its clock ran ahead).
 void ProxySession::outdateOwnRecord(const InstanceRecord& known) {
   if (!known.isNewerThan(record_)) {
     return;
@@ -223,14 +242,14 @@
   upstream_.clear();
   registry_epoch_ = 0;
   whole_registry_due_ = true;
-  evidence_told_ = 0;
+  evidence_reported_ = 0;
   member_untried_ = false;
 }
 
 void ProxySession::tryNextMember(TimePoint now) {
   members_.on_failed(now);
   forgetMember();
-  const std::uint32_t doublings = std::min(failures_ / 3, kMaximumDoublings);
+  const std::uint32_t doublings = std::min(failures_ / kFailuresPerDoubling, kMaximumDoublings);
   failures_ += 1;
   const auto jitter = Duration(static_cast<std::int64_t>(random_.below(kBackoffSpreadUs)));
   next_poll_ = now + kShortestBackoff * (std::int64_t{1} << doublings) + jitter;
--- a/core/distribution/record_digests.cc
+++ b/core/distribution/record_digests.cc
@@ -7,11 +7,11 @@
 namespace ramppond {
 namespace {
 
-// A daemon writes each record under a number of its own, so the number stands for what it says.
+// A proxy writes each record under a new number, so the number stands for the contents.
 auto digest_of(const InstanceRecord& record) -> std::uint64_t {
   const auto& address = record.daemon_address;
-  const auto of_daemon = XXH3_64bits(address.data(), address.size());
-  const std::uint64_t version[] = {of_daemon, record.incarnation, record.revision};
+  const auto of_proxy = XXH3_64bits(address.data(), address.size());
+  const std::uint64_t version[] = {of_proxy, record.incarnation, record.revision};
   return XXH3_64bits(version, sizeof(version));
 }
 
--- a/core/distribution/record_digests.h
+++ b/core/distribution/record_digests.h
@@ -1,8 +1,9 @@
 // Digests of the records of all servers that a process holds, to find what another process lacks.
 //
-// A daemon that begins to ask another control member tells these, and is sent the records of those
-// buckets only in which the two differ: mostly none, where the whole grows with the fleet. The same
-// class runs in members and daemons. Pure, not thread safe.
+// Owns one digest for each of 64 buckets of records. Proxies and coordinators run the same class: a
+// proxy that begins to ask another coordinator sends its digests, and gets the records of those
+// buckets only in which the two differ. Mostly these are none, while all records grow with the
+// fleet. Pure, not thread safe.
 #pragma once
 
 #include <cstdint>
@@ -16,16 +17,16 @@
 
 class record_digests {
  public:
-  /// With 64 buckets a poll grows by 0.6 KB; one record that differs brings those of its bucket
-  /// along, 16 of 1,000.
+  /// More: each poll with digests is longer, by 9 bytes a bucket. Fewer: one record that differs
+  /// brings more records of its bucket along.
   static constexpr auto bucket_count = std::size_t(64);
 
   record_digests() : digests(bucket_count, 0) {}
 
-  /// Takes the place of an older record of the same daemon; a newer one stays.
+  /// Replaces an older record of the same proxy; a newer one stays.
   void put(const InstanceRecord& record);
 
-  /// By bucket; equal if and, but for chance, only if the records of the bucket are.
+  /// By bucket. Equal records give equal digests; others differ except by chance (2^-64).
   [[nodiscard]] auto buckets() const -> const std::vector<std::uint64_t>& { return this->digests; }
 
   static auto bucket_of(const std::string& daemon_address) -> std::size_t;
@@ -37,8 +38,8 @@
     std::uint64_t digest = 0;
   };
 
-  std::vector<std::uint64_t> digests;                 // sums of the digests of the records in each
-  std::unordered_map<std::string, version> versions;  // by daemon
+  std::vector<std::uint64_t> digests;  // by bucket: sum of the digests of its records
+  std::unordered_map<std::string, version> versions;  // by the address of the proxy
 };
 
 }  // namespace ramppond
--- a/core/distribution/traffic_difference.h
+++ b/core/distribution/traffic_difference.h
@@ -1,8 +1,8 @@
-// A traffic configuration told by what differs from an earlier one.
+// A traffic configuration as its difference from an earlier one.
 //
 // Most changes touch a few of hundreds of routes, so the difference is some hundred bytes where the
-// whole is tens of kilobytes, for every daemon and change. Whoever applies a difference checks the
-// digest of the result and asks for the whole if it does not fit. Pure.
+// whole is tens of kilobytes, for every proxy and change. apply() checks the digest of the result;
+// if it does not fit, the caller asks for the whole. Pure; any thread.
 #pragma once
 
 #include <cstdint>
--- a/core/distribution/traffic_history.cc
+++ b/core/distribution/traffic_history.cc
@@ -9,9 +9,9 @@
 namespace ramppond {
 namespace {
 
-// A daemon is told each change within a second, unless it was cut off; three changes a second are
-// the fastest that operators describe.
-constexpr auto most_earlier = std::size_t(8);
+// A proxy that is not cut off gets each change within a second, and operators make three a second
+// at most. Fewer: proxies that are a little late get the whole. More: memory.
+constexpr auto max_earlier = std::size_t(8);
 
 }  // namespace
 
@@ -23,7 +23,7 @@
   if (this->index != 0) {
     this->earlier.push_back({this->index, std::move(this->current), std::string()});
   }
-  if (this->earlier.size() > most_earlier) {
+  if (this->earlier.size() > max_earlier) {
     this->earlier.pop_front();
   }
   for (auto& p : this->earlier) {
--- a/core/distribution/traffic_history.h
+++ b/core/distribution/traffic_history.h
@@ -1,5 +1,5 @@
-// The traffic configuration in force at a control member and the ones before it, each encoded once
-// for all daemons: whole, and as the difference from every earlier one that daemons may still hold.
+// Holds the traffic configuration in force at a coordinator and the eight before it, each encoded
+// once for all proxies: whole, and as the difference from every earlier one that proxies may hold.
 // Pure, not thread safe.
 #pragma once
 
--- a/core/external_api.h
+++ b/core/external_api.h
@@ -1,8 +1,8 @@
-// How the outside world speaks to the forwarding path: header names, calls and documents.
+// The interface to one platform: header names, calls and documents of the outside world.
 //
-// The product decides by its own types; an adapter implements this interface for one platform and
-// holds that platform's names and formats. An adapter decides nothing. Implementations are pure and
-// may be called from any thread.
+// An adapter implements it, translates the platform's names and formats into the types of core/ and
+// decides nothing; no other source knows those names. Implementations are pure and may be called
+// from any thread.
 #pragma once
 
 #include <cstdint>
@@ -23,22 +23,22 @@
 /// Names of header fields that requests and answers carry.
 struct ExternalHeaders {
   std::string request_id;       ///< Echoed in the answer; reaches the server as the client sent it.
-  std::string deadline_ms;      ///< Milliseconds that the sender will wait.
-  std::string caller_service;   ///< Set to the service of the machine where a request began.
-  std::string expect_instance;  ///< Makes any other instance refuse the request.
+  std::string deadline_ms;      ///< Milliseconds that the sender waits for the answer.
+  std::string caller_service;   ///< Set to the service of the server beside the first proxy.
+  std::string expect_instance;  ///< Any other incarnation of a server refuses the request.
   std::string not_run;          ///< In a server's answer: the server did not run the request.
   std::string server_stamp;     ///< In a server's answer.
   std::string base_version;     ///< In a replacement of the traffic configuration.
-  std::string credential;       ///< Carries a tenant's key; never reaches a server.
+  std::string credential;       ///< Holds a tenant's key; removed before the server.
   std::string tenant;           ///< Set to the name of the tenant whose key a request carried.
 };
 
 enum class ExternalCallType : std::uint8_t {
   kUnknown = 0,
-  kReadiness,       ///< Is this daemon ready for clients?
-  kHeartbeat,       ///< A server reports itself.
+  kReadiness,       ///< Is this proxy ready for clients?
+  kHeartbeat,       ///< A server reports its state.
   kLeave,           ///< A server is about to end.
-  kReplaceTraffic,  ///< The operator puts a configuration.
+  kReplaceTraffic,  ///< The operator replaces the configuration.
   kReadTraffic,     ///< The operator reads the newest configuration.
 };
 
@@ -54,15 +54,15 @@
   std::string error;  ///< Names the place, the key and what was expected.
 };
 
-/// Limits that a platform sets for the whole deployment. Durations that it does not give keep
-/// their defaults.
+/// Limits that a platform sets for the whole deployment. Those that it does not give keep their
+/// defaults.
 struct OperatingBounds {
   Duration drain_timeout = seconds(2);  ///< A leaving server takes nothing new after this.
   Duration grace = seconds(6);          ///< From SIGTERM to the end of the process.
-  double retry_ratio = 0.2;             ///< Repeats for a service, as a share of its requests.
-  shared_repeats retry_extra;           ///< Beyond that share, over all daemons.
-  /// A key that was taken away runs nothing that was sent this long after the acknowledgement, on
-  /// no machine. Nothing: keys are as new as the configuration that a daemon holds.
+  double retry_ratio = 0.2;             ///< Retries to a service, as a share of its requests.
+  shared_repeats retry_extra;           ///< Beyond that share, over all proxies.
+  /// After a key's removal is acknowledged, requests that are sent this much later with it run on
+  /// no machine. Nothing: keys are as new as the configuration that a proxy holds.
   std::optional<Duration> revocation;
   QuotaBounds quota;
 };
@@ -82,7 +82,7 @@
       const std::string& base_version, const std::string& body) const = 0;
   [[nodiscard]] virtual Parsed<ServerLeave> parseLeave(const std::string& instance_id,
                                                        const std::string& body) const = 0;
-  /// From texts of the form NAME=VALUE. Names that are not known are passed over.
+  /// From texts of the form NAME=VALUE; unknown names are ignored.
   [[nodiscard]] virtual Parsed<OperatingBounds> parseBounds(
       const std::vector<std::string>& texts) const = 0;
 };
--- a/tests/core/distribution/member_ranking_test.cc
+++ b/tests/core/distribution/member_ranking_test.cc
@@ -22,7 +22,7 @@
   return list;
 }
 
-auto daemon_with(int key) -> ranking_daemon {
+auto proxy_with(int key) -> ranked_proxy {
   return {static_cast<std::uint64_t>(key), "zone-a"};
 }
 
@@ -33,7 +33,7 @@
 TEST(member_ranking, a_member_that_joins_takes_its_own_share_only) {
   auto moved = 0, moved_elsewhere = 0;
   for (auto key = 1; key <= 1000; ++key) {
-    auto ranking = member_ranking(daemon_with(key), addresses(5));
+    auto ranking = member_ranking(proxy_with(key), addresses(5));
     ranking.on_members(places(addresses(5)), seconds(0));
     ranking.return_if_due(seconds(0));
     const auto before = ranking.current();
@@ -50,7 +50,7 @@
 TEST(member_ranking, moves_to_a_member_that_joins_are_spread_over_seconds) {
   auto moved = std::vector<int>(5, 0);
   for (auto key = 1; key <= 1000; ++key) {
-    auto ranking = member_ranking(daemon_with(key), addresses(5));
+    auto ranking = member_ranking(proxy_with(key), addresses(5));
     ranking.on_members(places(addresses(5)), seconds(0));
     ranking.return_if_due(seconds(0));
     ranking.on_members(places(addresses(6)), seconds(0));
@@ -63,7 +63,7 @@
 
 TEST(member_ranking, members_of_the_own_zone_come_first_then_the_others) {
   for (auto key = 1; key <= 50; ++key) {
-    auto ranking = member_ranking(daemon_with(key), addresses(3));
+    auto ranking = member_ranking(proxy_with(key), addresses(3));
     auto members = places(addresses(5), "zone-b");
     members[1].zone = members[4].zone = "zone-a";
     ranking.on_members(members, seconds(1));
@@ -80,7 +80,7 @@
 }
 
 TEST(member_ranking, asks_the_next_after_a_failure_and_returns_later_each_time) {
-  auto ranking = member_ranking(daemon_with(1), addresses(3));
+  auto ranking = member_ranking(proxy_with(1), addresses(3));
   const auto first = ranking.current();
   auto now = TimePoint(0);
   auto pause = Duration(0);
@@ -96,7 +96,7 @@
 }
 
 TEST(member_ranking, comes_to_every_member_in_turn_and_to_those_of_before) {
-  auto ranking = member_ranking(daemon_with(1), {"seed:1"});
+  auto ranking = member_ranking(proxy_with(1), {"seed:1"});
   ranking.on_members(places({"a:1", "b:1"}), seconds(0));
   ranking.on_members(places({"b:1", "c:1"}), seconds(1));
   auto asked = std::vector<std::string>();
@@ -109,7 +109,7 @@
 }
 
 TEST(member_ranking, without_any_address_there_is_nobody_to_ask) {
-  auto ranking = member_ranking(daemon_with(1), {});
+  auto ranking = member_ranking(proxy_with(1), {});
   EXPECT_TRUE(ranking.empty());
   ranking.on_failed(seconds(1));
   ranking.set_seeds({"a:1"});
