--- a/core/lifecycle/planned_stop.h
+++ b/core/lifecycle/planned_stop.h
@@ -48,8 +48,6 @@
   /// begun because nothing was under way.
   auto step(stop_load load, TimePoint now) -> stop_phase;
 
-  [[nodiscard]] auto phase() const -> stop_phase { return this->reached; }
-
  private:
   [[nodiscard]] auto next(stop_load load, Duration elapsed) const -> stop_phase;
 
--- a/core/retries/retry_budget.cc
+++ b/core/retries/retry_budget.cc
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-auto part_of(const shared_repeats& shared, std::size_t daemons) -> repeat_allowance {
-  return {daemons == 0 ? 0 : shared_allowance_used * shared.count / static_cast<double>(daemons)};
+auto part_of(const shared_repeats& shared, std::size_t proxies) -> repeat_allowance {
+  return {proxies == 0 ? 0 : shared_allowance_used * shared.count / static_cast<double>(proxies)};
 }
 
 auto retry_budget::current_slot(TimePoint now) -> slot& {
--- a/core/retries/retry_budget.h
+++ b/core/retries/retry_budget.h
@@ -50,8 +50,8 @@
   double count = 0;
 };
 
-/// The part of one of `daemons` proxies in `shared`.
-auto part_of(const shared_repeats& shared, std::size_t daemons) -> repeat_allowance;
+/// The part of one of `proxies` in `shared`.
+auto part_of(const shared_repeats& shared, std::size_t proxies) -> repeat_allowance;
 
 class retry_budget {
  public:
--- a/core/tenants/quota_ledger.cc
+++ b/core/tenants/quota_ledger.cc
@@ -31,8 +31,8 @@
 constexpr double usable_bound_share = 0.85;
 // The arrival rate counts for less by this many standard deviations of its count
 // in a second, in proportion to the level of the bucket: a tenant near its limit
-// is not refused by chance while it has tokens. Higher, real excess is let
-// through.
+// is not refused by chance while it has tokens. Higher, real excess is
+// admitted.
 constexpr double tolerated_deviations = 1.5;
 // Of a burst; the rest is for requests that a sudden start runs before they are
 // reported.
--- a/tests/core/lifecycle/planned_stop_test.cc
+++ b/tests/core/lifecycle/planned_stop_test.cc
@@ -32,10 +32,11 @@
 
 TEST_P(planned_stop_table, reaches) {
   auto stop = planned_stop(times, seconds(100));
+  auto last = stop_phase::draining;
   for (const auto& seen : GetParam().seen) {
-    stop.step(seen.load, seconds(100) + milliseconds(seen.at_ms));
+    last = stop.step(seen.load, seconds(100) + milliseconds(seen.at_ms));
   }
-  EXPECT_EQ(stop.phase(), GetParam().last);
+  EXPECT_EQ(last, GetParam().last);
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/core/placement/instance_directory_test.cc
+++ b/tests/core/placement/instance_directory_test.cc
@@ -154,7 +154,7 @@
   EXPECT_EQ(choose(), "far");
 }
 
-// Found on the bench: a refusal that arrived after the newer record took the server out for good.
+// A refusal may arrive after the newer record and must not outlast it.
 TEST_F(InstanceDirectoryTest, ALateRefusalDoesNotTakeAServerOutForGood) {
   directory_.offer(record("near", "zone-a", InstanceState::kReady, 5));
   directory_.onFenced(find("near"), now_);
