--- a/core/distribution/instance_record.h
+++ b/core/distribution/instance_record.h
@@ -4,6 +4,7 @@
 
 #include <cstdint>
 #include <string>
+#include <tuple>
 
 #include "core/time.h"
 
@@ -41,8 +42,7 @@
     visitor(9, cold_left);
   }
   [[nodiscard]] bool isNewerThan(const InstanceRecord& other) const {
-    return incarnation != other.incarnation ? incarnation > other.incarnation
-                                            : revision > other.revision;
+    return std::tie(incarnation, revision) > std::tie(other.incarnation, other.revision);
   }
 };
 
