--- a/lab/sim_main.cc
+++ b/lab/sim_main.cc
@@ -4,8 +4,6 @@
 
 #include "common/command_line.h"
 #include "common/program.h"
-#include "lab/experiment.h"
-#include "lab/experiment_report.h"
 #include "lab/simulation/scenarios.h"
 
 namespace ramppond {
@@ -14,21 +12,14 @@
 CommandLineSpec commandLineSpec() {
   CommandLineSpec spec;
   spec.program = "ramppond-sim";
-  spec.synopsis = "list | run [options] | experiment FILE [--output FOLDER]";
+  spec.synopsis = "list | run [options]";
   spec.description =
       "Runs a deployment in virtual time and checks every promise on the recorded history. The\n"
-      "same seed gives the same output to the byte. Exit 0 only if all promises held.\n"
-      "experiment: runs the policies and triggers of FILE over its seeds and reports goodput,\n"
-      "recovery and wasted work. Triggers:";
-  for (const TriggerInfo& trigger : triggerInfos()) {
-    spec.description +=
-        "\n  " + trigger.name + std::string(16 - trigger.name.size(), ' ') + trigger.meaning;
-  }
+      "same seed gives the same output to the byte. Exit 0 only if all promises held.";
   spec.options = {{"deployment", "FILE", "deployment file"},
                   {"scenario", "NAME", "one of 'list'; 'all' for every one"},
                   {"seeds", "A-B", "range of seeds (1-1)"},
                   {"policy", "NAME", "overload policy (ramppond)"},
-                  {"output", "FOLDER", "experiment: where CSV, JSON and plot files go"},
                   {"json", "", "print JSON"}};
   return spec;
 }
@@ -144,29 +135,6 @@
   return exitStatus(ExitCode::kSuccess);
 }
 
-int experiment(const CommandLine& command_line) {
-  if (command_line.operands().size() != 2) {
-    std::cerr << "usage: ramppond-sim experiment FILE [--output FOLDER]\n";
-    return exitStatus(ExitCode::kUsage);
-  }
-  std::string error;
-  const auto spec = readExperiment(command_line.operands()[1], error);
-  if (!spec) {
-    return exitStatus(reportSettingsError(error));
-  }
-  const auto results = runAll(*spec, std::cerr);
-  if (!results) {
-    return exitStatus(ExitCode::kUsage);
-  }
-  printSummary(*results, std::cout);
-  const std::string folder = command_line.value("output");
-  if (!folder.empty() && !writeReport(*spec, *results, folder)) {
-    std::cerr << "ramppond-sim: cannot write into " << folder << '\n';
-    return exitStatus(ExitCode::kFailure);
-  }
-  return exitStatus(ExitCode::kSuccess);
-}
-
 }  // namespace
 }  // namespace ramppond
 
@@ -184,9 +152,6 @@
   if (command == "run") {
     return run(command_line);
   }
-  if (command == "experiment") {
-    return experiment(command_line);
-  }
-  std::cerr << "usage: ramppond-sim list | run | experiment [options]; try --help\n";
+  std::cerr << "usage: ramppond-sim list | run [options]; try --help\n";
   return exitStatus(ExitCode::kUsage);
 }
--- a/lab/simulation/scenarios.cc
+++ b/lab/simulation/scenarios.cc
@@ -84,7 +84,7 @@
     simulation.firstOperator().change(
         {wanted}, [&simulation, &daemon, event](const std::optional<ControlReply>& reply) {
           if (reply && reply->result.error == ErrorKind::kNone) {
-            simulation.world().recorder.event(simulation.world().event(event, daemon.name()));
+            simulation.world().record(simulation.world().event(event, daemon.name()));
           }
         });
   };
@@ -92,7 +92,7 @@
                 [change] { change(ChangeType::kDrainServer, HistoryEventType::kBackendDraining); });
   simulation.at(when + length, [&simulation, &daemon, change] {
     // Its leaving is over as soon as it is asked back.
-    simulation.world().recorder.event(
+    simulation.world().record(
         simulation.world().event(HistoryEventType::kBackendStopped, daemon.name()));
     change(ChangeType::kRestoreServer, HistoryEventType::kBackendStopped);
   });
@@ -114,8 +114,8 @@
   const auto& others = simulation.secondOperator().operations();
   operations.insert(operations.end(), others.begin(), others.end());
   Violations violations = checkLinearizable(operations);
-  const Violations late = checkConfiguration(simulation.world().recorder.history(),
-                                             simulation.serverNames(), kInForceWithin);
+  const Violations late =
+      checkConfiguration(simulation.world().history, simulation.serverNames(), kInForceWithin);
   violations.insert(violations.end(), late.begin(), late.end());
   return violations;
 }
@@ -444,7 +444,7 @@
                  },
                  [](Simulation& simulation) {
                    const auto start = simulation.loadStart();
-                   return checkShedOrder(simulation.world().recorder.history(),
+                   return checkShedOrder(simulation.world().history,
                                          simulation.worksReaching(simulation.deepestService()),
                                          (start + seconds(3)).count(), (start + seconds(9)).count(),
                                          kShedMargin);
@@ -532,7 +532,7 @@
   scenario.provoke(simulation);
   ScenarioResult result;
   result.failure = simulation.run();
-  result.history = simulation.world().recorder.history();
+  result.history = simulation.world().history;
   const auto add = [&result](const Violations& found) {
     result.violations.insert(result.violations.end(), found.begin(), found.end());
   };
--- a/lab/simulation/simulated_backend.cc
+++ b/lab/simulation/simulated_backend.cc
@@ -76,8 +76,7 @@
   event.place = spec_.name + run.route->path;
   event.call = run.body.call;
   event.parent = run.body.parent;
-  world_.recorder.event(event);
-  run.started = world_.now();
+  world_.record(event);
   const double sigma = run.route->work_sigma;
   const double mean_ms = run.route->work_ms * slowdown_ * coldFactor();
   const double mu = std::log(mean_ms * 1000) - sigma * sigma / 2;
@@ -150,7 +149,6 @@
   const auto found = running_.find(id);
   const Run run = std::move(found->second);
   running_.erase(found);
-  world_.recorder.slotUsed(run.body.nonce, world_.now() - run.started);
   BackendAnswer answer;
   answer.status = run.failed ? 502 : 200;
   answer.body = run.failed ? "" : formatWorkBody(run.body, run.route->answer_bytes);
@@ -172,7 +170,6 @@
   }
   const Run run = std::move(found->second);
   running_.erase(found);
-  world_.recorder.slotUsed(run.body.nonce, world_.now() - run.started);
   for (const auto& [token, call] : run.calls) {
     hooks_.egress_gone(token);
   }
--- a/lab/simulation/simulated_backend.h
+++ b/lab/simulation/simulated_backend.h
@@ -42,7 +42,6 @@
     const Route* route = nullptr;
     WorkBody body;
     std::string handle;
-    TimePoint started{0};
     std::size_t next_call = 0;
     std::size_t open_calls = 0;
     bool failed = false;
--- a/lab/simulation/simulated_callers.cc
+++ b/lab/simulation/simulated_callers.cc
@@ -70,14 +70,10 @@
   request->work = &work;
   request->caller_class = caller_class;
   request->number = next_number_++;
-  request->intended = world_.now();
   if (work.type.kind == WorkKind::kCommitOnce) {
     request->key = "k" + std::to_string(request->number);
   }
   open_ += 1;
-  world_.recorder.offered(work.type.kind,
-                          caller_class == nullptr ? "" : caller_class->priority_class.name,
-                          world_.now());
   sendAttempt(request);
 }
 
@@ -94,8 +90,7 @@
   event.key = request->key;
   event.work = type.name;
   event.kind = workKindName(type.kind);
-  world_.recorder.event(event);
-  world_.recorder.attemptSent();
+  world_.record(event);
   FrontRequest front;
   if (request->caller_class != nullptr &&
       !request->caller_class->priority_class.caller_keys.empty()) {
@@ -167,13 +162,8 @@
   event.number = answer.error == ErrorKind::kNone
                      ? answer.status
                      : static_cast<std::uint64_t>(errorAnswer(answer.error).http_status);
-  world_.recorder.event(event);
-  const std::string caller_class =
-      request->caller_class == nullptr ? "" : request->caller_class->priority_class.name;
+  world_.record(event);
   if (body && body->nonce == request->nonce) {
-    world_.recorder.completed(type.kind, caller_class, request->nonce,
-                              world_.now() - request->intended, world_.now());
-    world_.recorder.attemptEnded(request->nonce);
     open_ -= 1;
     if (!stopped_ && world_.random.chance(request->work->repeat_share)) {
       const auto pause =
@@ -186,9 +176,6 @@
     }
     return;
   }
-  if (request->key.empty()) {
-    world_.recorder.attemptEnded(request->nonce);
-  }
   retryOrEnd(request, answer);
 }
 
@@ -196,8 +183,6 @@
   const bool again = options_.retry != ClientRetry::kNone &&
                      request->attempt <= options_.maximum_retries && !stopped_;
   if (!again) {
-    world_.recorder.refused(request->work->type.kind, world_.now());
-    world_.recorder.attemptEnded(request->nonce);
     open_ -= 1;
     return;
   }
--- a/lab/simulation/simulated_callers.h
+++ b/lab/simulation/simulated_callers.h
@@ -27,10 +27,6 @@
   /// No new front requests from now on.
   void stop() { stopped_ = true; }
   void setRate(double rate) { options_.rate = rate; }
-  void setRetry(ClientRetry retry, std::uint32_t maximum) {
-    options_.retry = retry;
-    options_.maximum_retries = maximum;
-  }
   [[nodiscard]] std::size_t open() const { return open_; }
 
  private:
@@ -42,7 +38,6 @@
     std::uint32_t attempt = 0;
     std::string nonce;      ///< Of the present attempt.
     bool answered = false;  ///< The present attempt.
-    TimePoint intended{0};
     ExchangeNumber exchange = 0;
   };
   using RequestPointer = std::shared_ptr<Request>;
--- a/lab/simulation/simulated_daemon.cc
+++ b/lab/simulation/simulated_daemon.cc
@@ -92,7 +92,7 @@
   configuration_noted_ = index;
   HistoryEvent event = world_.event(HistoryEventType::kConfigurationInForce, server_);
   event.number = index;
-  world_.recorder.event(event);
+  world_.record(event);
 }
 
 void SimulatedDaemon::kill() {
@@ -101,7 +101,7 @@
   }
   world_.network.kill(node_);
   forgetExchanges();
-  world_.recorder.event(world_.event(HistoryEventType::kServerKilled, server_));
+  world_.record(world_.event(HistoryEventType::kServerKilled, server_));
 }
 
 void SimulatedDaemon::restart(bool keep_disk) {
@@ -121,7 +121,7 @@
   if (core_ == nullptr) {
     return;
   }
-  world_.recorder.event(world_.event(HistoryEventType::kBackendDraining, server_));
+  world_.record(world_.event(HistoryEventType::kBackendDraining, server_));
   core_->startDrain(world_.now());
   stopping_ = true;
 }
@@ -134,7 +134,7 @@
   stopping_ = false;
   world_.network.closePort(node_);
   world_.network.onNode(node_, milliseconds(100), [this] {
-    world_.recorder.event(world_.event(HistoryEventType::kBackendStopped, server_));
+    world_.record(world_.event(HistoryEventType::kBackendStopped, server_));
     world_.network.kill(node_);
     forgetExchanges();
   });
@@ -220,13 +220,12 @@
   }
   const auto body = parseWorkBody(action.request.payload.body);
   if (body) {
-    world_.recorder.attemptOnWire(body->nonce, body->call);
     HistoryEvent event = world_.event(HistoryEventType::kAttemptSent, server_);
     event.nonce = body->nonce;
     event.key = body->key;
     event.call = body->call;
     event.parent = body->parent;
-    world_.recorder.event(event);
+    world_.record(event);
   }
   SimulatedDaemon* peer = found->second;
   sent_exchanges_[id] = world_.network.request(
--- a/lab/simulation/simulated_operator.cc
+++ b/lab/simulation/simulated_operator.cc
@@ -101,7 +101,7 @@
       HistoryEvent event = world_.event(HistoryEventType::kPlanConfirmed, name_);
       event.number = reply->result.version.index;
       event.detail = base.toString();
-      world_.recorder.event(event);
+      world_.record(event);
     }
     if (done) {
       done(reply);
--- a/lab/simulation/simulation.cc
+++ b/lab/simulation/simulation.cc
@@ -25,7 +25,7 @@
     : deployment_(deployment),
       options_(options),
       world_(deployment, findOverloadPolicy(options.policy).value_or(OverloadPolicy{}),
-             networkOptions(deployment), options.seed, options.keep_history),
+             networkOptions(deployment), options.seed),
       fault_random_(options.seed + 77),
       base_rate_(deployment.capacityPerSecond() * options.load) {
   build();
--- a/lab/simulation/simulation.h
+++ b/lab/simulation/simulation.h
@@ -26,7 +26,6 @@
   ClientRetry retry = ClientRetry::kObey;
   std::uint32_t client_retries = 3;
   Duration platform_lag = seconds(30);
-  bool keep_history = true;
 };
 
 class Simulation {
--- a/scripts/install_deps.sh
+++ b/scripts/install_deps.sh
@@ -8,7 +8,7 @@
   libpistache-dev libcurl4-openssl-dev libssl-dev libcbor-dev
   libboost-log-dev libboost-dev libtomlplusplus-dev nlohmann-json3-dev
   prometheus-cpp-dev libxxhash-dev libsodium-dev libpcg-cpp-dev
-  libgtest-dev librapidcheck-dev spin gnuplot-nox python3
+  libgtest-dev librapidcheck-dev spin
 )
 
 missing=()
