--- a/common/event_log.cc
+++ b/common/event_log.cc
@@ -6,8 +6,6 @@
 namespace ramppond {
 namespace {
 
-std::uint64_t dropped_lines = 0;
-
 void appendQuoted(std::string& line, std::string_view text) {
   constexpr std::string_view kDigits = "0123456789abcdef";
   line += '"';
@@ -45,8 +43,9 @@
   }
   line += "}\n";
   // A line of at most PIPE_BUF bytes is written whole or not at all.
-  if (!writable() || ::write(STDOUT_FILENO, line.data(), line.size()) < 0) {
-    dropped_lines += 1;
+  if (writable()) {
+    const ssize_t written = ::write(STDOUT_FILENO, line.data(), line.size());
+    static_cast<void>(written);
   }
 }
 
@@ -70,8 +69,4 @@
   return true;
 }
 
-std::uint64_t droppedEventLines() {
-  return dropped_lines;
-}
-
 }  // namespace ramppond
--- a/common/event_log.h
+++ b/common/event_log.h
@@ -1,6 +1,5 @@
 // Log lines of the forwarding path: one JSON object a line on standard output, for changes of state
-// and sampled counters. Written without blocking: what a slow reader does not take is dropped and
-// counted.
+// and sampled counters. Written without blocking: what a slow reader does not take is dropped.
 #pragma once
 
 #include <cstdint>
@@ -37,7 +36,4 @@
   std::uint64_t suppressed_ = 0;
 };
 
-/// Lines dropped so far because the reader did not keep up.
-std::uint64_t droppedEventLines();
-
 }  // namespace ramppond
--- a/control/coordinator/coordinator_process.h
+++ b/control/coordinator/coordinator_process.h
@@ -87,10 +87,8 @@
   std::map<ControlToken, std::shared_ptr<ServerExchange>> operator_calls_;
   ControlToken next_operator_token_;
   bool work_scheduled_ = false;
-  bool fresh_disk_ = false;
   TimePoint next_join_{0};
   TimePoint next_settings_check_{0};
-  std::size_t join_position_ = 0;
   std::string logged_state_;
 };
 
--- a/core/call_model/router.cc
+++ b/core/call_model/router.cc
@@ -52,14 +52,6 @@
   return services_.count(service) != 0;
 }
 
-std::size_t Router::serverCount() const {
-  std::size_t count = 0;
-  for (const auto& [service, servers] : services_) {
-    count += servers.size();
-  }
-  return count;
-}
-
 bool Router::takesWork(const Server& server) const {
   const bool drained =
       std::find(drained_.begin(), drained_.end(), server.info.name) != drained_.end();
--- a/core/call_model/router.h
+++ b/core/call_model/router.h
@@ -66,7 +66,6 @@
   /// Servers that an operator drains; they get no new work.
   void setDrainedByOperator(const std::vector<std::string>& servers);
   [[nodiscard]] bool knows(const std::string& service) const;
-  [[nodiscard]] std::size_t serverCount() const;
 
   /// A server for a call, avoiding `excluded` unless nothing else is left.
   std::optional<RouteChoice> choose(const std::string& service,
--- a/core/call_port/call_scope.h
+++ b/core/call_port/call_scope.h
@@ -51,7 +51,6 @@
     open_ = false;
     return std::exchange(retries_, 0);
   }
-  [[nodiscard]] bool isOpen() const { return open_; }
 
   void observeCut(Level cut) { chain_cut_ = std::min(chain_cut_, cut); }
   [[nodiscard]] Level chainCut() const { return chain_cut_; }
--- a/core/call_port/concurrency_limiter.h
+++ b/core/call_port/concurrency_limiter.h
@@ -14,7 +14,6 @@
   TimePoint now{0};
   /// Time the back end itself spent: total less the time blocked on calls it made in turn.
   Duration own_latency{0};
-  std::uint32_t in_flight = 0;
   bool refused_by_backend = false;  ///< The back end shed the call itself.
 };
 
--- a/core/call_port/control_session.cc
+++ b/core/call_port/control_session.cc
@@ -121,7 +121,6 @@
     batch.claims.push_back(std::move(claims_.front()));
     claims_.pop_front();
   }
-  counters_.claim_batches += 1;
   SendToControl send;
   send.address = leader_address_.empty() ? upstreamAddress() : leader_address_;
   send.request_id = next_request_id_++;
@@ -249,7 +248,6 @@
   if (done) {
     return;
   }
-  counters_.claim_batches_failed += 1;
   leader_address_ = reply ? reply->leader_address : std::string();
   if (leader_address_.empty()) {
     upstream_ += 1;
--- a/core/call_port/control_session.h
+++ b/core/call_port/control_session.h
@@ -44,8 +44,6 @@
   std::uint64_t upstream_changes = 0;
   std::uint64_t configurations_taken = 0;
   std::uint64_t configurations_refused = 0;  ///< Older than what is in force.
-  std::uint64_t claim_batches = 0;
-  std::uint64_t claim_batches_failed = 0;
 };
 
 class ControlSession {
--- a/core/call_port/inbound_calls.cc
+++ b/core/call_port/inbound_calls.cc
@@ -32,7 +32,6 @@
 
 void InboundCalls::onRequest(const CallRequest& request, TimePoint now, DaemonActions& actions) {
   if (request.receiver_incarnation != options_.incarnation) {
-    counters_.restarted_receiver += 1;
     refuse(request, ErrorKind::kServerRestarted, now, actions);
     return;
   }
@@ -180,7 +179,6 @@
                                    TimePoint now, DaemonActions& actions) {
   const auto position = calls_.find(id);
   if (position == calls_.end() || position->second.state != State::kDispatched) {
-    counters_.late_backend_answers += 1;
     return;
   }
   if (backend_answer.draining) {
@@ -188,8 +186,7 @@
   }
   Call& call = position->second;
   const Duration own = now - call.dispatched - call.scope->blocked(now);
-  limiter_->onSample(
-      {now, own, static_cast<std::uint32_t>(in_flight_.size()), backend_answer.refused});
+  limiter_->onSample({now, own, backend_answer.refused});
   CallAnswer answer;
   answer.id = id;
   if (backend_answer.refused) {
--- a/core/call_port/inbound_calls.h
+++ b/core/call_port/inbound_calls.h
@@ -52,10 +52,8 @@
   std::uint64_t refused_draining = 0;
   std::uint64_t duplicates = 0;
   std::uint64_t cancelled = 0;
-  std::uint64_t late_backend_answers = 0;
   std::uint64_t claims_denied = 0;
   std::uint64_t claims_timed_out = 0;
-  std::uint64_t restarted_receiver = 0;
 };
 
 /// Not thread safe. Says not_run only for calls it never dispatched, and refuses every later copy
--- a/core/call_port/outbound_calls.cc
+++ b/core/call_port/outbound_calls.cc
@@ -78,9 +78,7 @@
   request.context.retry_allowance = 0;
   request.service = call.spec.service;
   request.payload.path = call.spec.payload.path;
-  if (call.handshake) {
-    counters_.handshakes += 1;
-  } else {
+  if (!call.handshake) {
     counters_.attempts += 1;
     call.attempts += 1;
     call.lent = call.spec.scope->lend();
@@ -262,7 +260,6 @@
     finish(position, errorCallAnswer({}, kind), now);
     return;
   }
-  counters_.attempt_timeouts += 1;
   const CallId attempt = call.attempt;
   actions.emplace_back(CancelPeer{attempt});
   if (now < call.spec.scope->deadline()) {
--- a/core/call_port/outbound_calls.h
+++ b/core/call_port/outbound_calls.h
@@ -40,8 +40,6 @@
   std::uint64_t retries_denied = 0;
   std::uint64_t late_answers = 0;
   std::uint64_t mismatched_answers = 0;
-  std::uint64_t attempt_timeouts = 0;
-  std::uint64_t handshakes = 0;
   std::uint64_t no_server = 0;
   std::uint64_t cancelled = 0;
 };
@@ -66,7 +64,6 @@
   /// Services that were called but whose servers are not known.
   std::vector<std::string> takeUnknownServices() { return std::exchange(unknown_services_, {}); }
   [[nodiscard]] bool idle() const { return calls_.empty(); }
-  [[nodiscard]] std::size_t inProgress() const { return calls_.size(); }
   [[nodiscard]] const OutboundCounters& counters() const { return counters_; }
 
  private:
--- a/core/consensus/raft.h
+++ b/core/consensus/raft.h
@@ -92,10 +92,8 @@
   [[nodiscard]] const Membership& membership() const { return membership_; }
   /// Leader: when it last heard from `id`. Nothing if never in this term.
   [[nodiscard]] std::optional<TimePoint> lastHeardFrom(NodeId id) const;
-  /// Whether this node leads and a quorum answered within the election timeout (check-quorum).
   /// When this node last became the leader.
   [[nodiscard]] TimePoint leaderSince() const { return leader_since_; }
-  [[nodiscard]] bool holdsLease() const { return role_ == RaftRole::kLeader; }
 
  private:
   struct Progress {
--- a/lab/fleet.h
+++ b/lab/fleet.h
@@ -42,7 +42,6 @@
   [[nodiscard]] std::vector<std::string> controlAddresses() const;
   [[nodiscard]] std::vector<std::string> serverNames() const;
   [[nodiscard]] std::size_t controlCount() const { return control_.size(); }
-  [[nodiscard]] pid_t controlPid(std::size_t index) const { return control_[index].process->pid(); }
   /// The control member that leads, by what the group says; nothing if there is none.
   std::optional<std::size_t> leader();
 
--- a/lab/fleet_run.cc
+++ b/lab/fleet_run.cc
@@ -22,7 +22,6 @@
 constexpr Duration kInForceTimeout = seconds(14);
 constexpr Duration kDrainGrace = seconds(3);
 constexpr Duration kFaultLength = seconds(2);
-constexpr Duration kRecoveryTimeout = seconds(20);
 
 // Notes every version that a daemon puts in force.
 class ConfigurationMonitor {
--- a/lab/simulation/simulated_control.cc
+++ b/lab/simulation/simulated_control.cc
@@ -23,9 +23,7 @@
 
 bool SimulatedControl::start() {
   storage_ = std::make_unique<RaftStorage>(files_);
-  const auto error = storage_->open(world_.random.next() | 1U);
-  if (error) {
-    start_error_ = *error;
+  if (storage_->open(world_.random.next() | 1U)) {
     return false;
   }
   ControlOptions options;
--- a/lab/simulation/simulated_control.h
+++ b/lab/simulation/simulated_control.h
@@ -28,7 +28,7 @@
   SimulatedControl(World& world, Directory& directory, std::string name, const std::string& zone,
                    SimulatedControlOptions options);
 
-  /// False if the storage refuses to start; see startError().
+  /// False if the storage refuses to start.
   bool start();
   void kill();
   bool restart(bool wipe);
@@ -45,7 +45,6 @@
   [[nodiscard]] NodeNumber node() const { return node_; }
   [[nodiscard]] bool alive() const { return core_ != nullptr; }
   [[nodiscard]] const ControlCore* core() const { return core_.get(); }
-  [[nodiscard]] const std::string& startError() const { return start_error_; }
   [[nodiscard]] bool leads() const {
     return core_ != nullptr && core_->raft().role() == RaftRole::kLeader;
   }
@@ -73,7 +72,6 @@
   MemoryFileSystem files_;
   std::unique_ptr<RaftStorage> storage_;
   std::unique_ptr<ControlCore> core_;
-  std::string start_error_;
   std::uint64_t starts_ = 0;
   bool working_ = false;
   bool woken_ = false;
--- a/net/http_client.cc
+++ b/net/http_client.cc
@@ -106,8 +106,6 @@
     curl_multi_wakeup(multi_);
   }
 
-  [[nodiscard]] HttpTraffic traffic() const { return {sent_bytes_, received_bytes_}; }
-
  private:
   void run() {
     while (!stopping_) {
@@ -200,7 +198,6 @@
     long sent_bytes = 0;
     curl_easy_getinfo(transfer->handle, CURLINFO_RESPONSE_CODE, &status);
     curl_easy_getinfo(transfer->handle, CURLINFO_REQUEST_SIZE, &sent_bytes);
-    countTraffic(*transfer, sent_bytes);
     HttpClientResult& result = transfer->result;
     result.status = static_cast<int>(status);
     result.complete = code == CURLE_OK;
@@ -210,17 +207,6 @@
     transfer->callback(std::move(transfer->result));
   }
 
-  // The size of a request counts its headers and the part of the body that left with them, which
-  // is all of a small one.
-  void countTraffic(const Transfer& transfer, long request_bytes) {
-    long header_bytes = 0;
-    curl_off_t body_bytes = 0;
-    curl_easy_getinfo(transfer.handle, CURLINFO_HEADER_SIZE, &header_bytes);
-    curl_easy_getinfo(transfer.handle, CURLINFO_SIZE_DOWNLOAD_T, &body_bytes);
-    sent_bytes_ += static_cast<std::uint64_t>(request_bytes);
-    received_bytes_ += static_cast<std::uint64_t>(header_bytes + body_bytes);
-  }
-
   void release(Transfer& transfer) {
     curl_multi_remove_handle(multi_, transfer.handle);
     curl_slist_free_all(transfer.header_list);
@@ -242,8 +228,6 @@
   std::vector<std::uint64_t> cancelled_;
   std::unordered_map<std::uint64_t, std::unique_ptr<Transfer>> active_;
   std::vector<CURL*> idle_;
-  std::atomic<std::uint64_t> sent_bytes_{0};
-  std::atomic<std::uint64_t> received_bytes_{0};
   std::thread thread_;
 };
 
@@ -258,10 +242,6 @@
   impl_->cancel(id);
 }
 
-HttpTraffic HttpClient::traffic() const {
-  return impl_->traffic();
-}
-
 HttpClientResult sendAndWait(HttpClient& client, HttpClientRequest request) {
   std::promise<HttpClientResult> promise;
   auto future = promise.get_future();
--- a/net/http_client.h
+++ b/net/http_client.h
@@ -39,12 +39,6 @@
   [[nodiscard]] std::string header(const std::string& name) const;
 };
 
-/// Bytes of HTTP, headers and bodies, without TCP and IP.
-struct HttpTraffic {
-  std::uint64_t sent_bytes = 0;
-  std::uint64_t received_bytes = 0;
-};
-
 /// Thread safe. Callbacks run on the client's thread, each exactly once unless cancelled.
 class HttpClient {
  public:
@@ -58,8 +52,6 @@
   std::uint64_t send(HttpClientRequest request, Callback callback);
   /// Closes the connection of a request; its callback is not run.
   void cancel(std::uint64_t id);
-  /// Of all requests that are over.
-  [[nodiscard]] HttpTraffic traffic() const;
 
  private:
   class Impl;
--- a/tests/core/call_port/admission_test.cc
+++ b/tests/core/call_port/admission_test.cc
@@ -119,17 +119,17 @@
   TimePoint now = seconds(1);
   for (int sample = 0; sample < 100; ++sample) {
     now += milliseconds(10);
-    limiter->onSample({now, seconds(1), 10, false});
+    limiter->onSample({now, seconds(1), false});
   }
   EXPECT_EQ(limiter->limit(), 10U) << "a slow back end keeps its slots";
   for (int sample = 0; sample < 300; ++sample) {
     now += milliseconds(100);
-    limiter->onSample({now, milliseconds(1), 10, true});
+    limiter->onSample({now, milliseconds(1), true});
   }
   EXPECT_EQ(limiter->limit(), 1U) << "never below one";
   for (int sample = 0; sample < 300; ++sample) {
     now += milliseconds(100);
-    limiter->onSample({now, milliseconds(1), 1, false});
+    limiter->onSample({now, milliseconds(1), false});
   }
   EXPECT_EQ(limiter->limit(), 10U);
 }
