--- a/core/consensus/raft.h
+++ b/core/consensus/raft.h
@@ -124,6 +124,8 @@
   void sendSnapshot(const Member& member, Progress& progress);
   void handleVoteRequest(const RaftMessage& message);
   void handleVoteReply(const RaftMessage& message);
+  /// Follows the sender of a leader's message; false, and refuses it, if the term is over.
+  bool followLeader(const RaftMessage& message);
   void handleAppendRequest(const RaftMessage& message);
   void handleAppendReply(const RaftMessage& message);
   void handleSnapshotRequest(const RaftMessage& message);
--- a/core/consensus/raft_replication.cc
+++ b/core/consensus/raft_replication.cc
@@ -61,14 +61,21 @@
   send(std::move(request));
 }
 
-void RaftNode::handleAppendRequest(const RaftMessage& message) {
+bool RaftNode::followLeader(const RaftMessage& message) {
   if (message.term < hard_state_.term) {
     reply(message, RaftMessageType::kAppendReply, false, lastIndex());
-    return;
+    return false;
   }
   becomeFollower(message.term, message.from);
   heard_leader_ = true;
   last_leader_contact_ = now_;
+  return true;
+}
+
+void RaftNode::handleAppendRequest(const RaftMessage& message) {
+  if (!followLeader(message)) {
+    return;
+  }
   if (message.log_index > snapshot_.index && termAt(message.log_index) != message.log_term) {
     reply(message, RaftMessageType::kAppendReply, false,
           std::min(lastIndex(), message.log_index - 1));
@@ -128,13 +135,9 @@
 }
 
 void RaftNode::handleSnapshotRequest(const RaftMessage& message) {
-  if (message.term < hard_state_.term) {
-    reply(message, RaftMessageType::kAppendReply, false, lastIndex());
+  if (!followLeader(message)) {
     return;
   }
-  becomeFollower(message.term, message.from);
-  heard_leader_ = true;
-  last_leader_contact_ = now_;
   const Snapshot& snapshot = message.snapshot;
   if (snapshot.index > commit_) {
     log_.clear();
