--- a/tests/net/stream/control_channels_test.cc
+++ b/tests/net/stream/control_channels_test.cc
@@ -7,17 +7,11 @@
 #include <vector>
 
 #include "core/cbor_codec.h"
+#include "tests/net/stream/free_endpoint.h"
 
 namespace ramppond {
 namespace {
 
-Endpoint freeEndpoint(EventLoop& loop) {
-  boost::asio::ip::tcp::acceptor probe(
-      loop.context(),
-      boost::asio::ip::tcp::endpoint(boost::asio::ip::make_address_v4("127.0.0.1"), 0));
-  return {"127.0.0.1", probe.local_endpoint().port()};
-}
-
 class ControlChannelsTest : public testing::Test {
  protected:
   void startMembers(std::size_t count) {
--- a/tests/net/stream/http_stream_test.cc
+++ b/tests/net/stream/http_stream_test.cc
@@ -12,19 +12,13 @@
 
 #include "net/stream/http_client.h"
 #include "net/stream/http_server.h"
+#include "tests/net/stream/free_endpoint.h"
 
 namespace ramppond {
 namespace {
 
 constexpr Duration kTestLimit = seconds(20);
 
-Endpoint freeEndpoint(EventLoop& loop) {
-  boost::asio::ip::tcp::acceptor probe(
-      loop.context(),
-      boost::asio::ip::tcp::endpoint(boost::asio::ip::make_address_v4("127.0.0.1"), 0));
-  return {"127.0.0.1", probe.local_endpoint().port()};
-}
-
 /// A connection that stands, with a request in it that the server's loop has not seen.
 int connectAndSend(const Endpoint& endpoint, const std::string& bytes) {
   sockaddr_in address = {};
