--- a/common/command_line.cc
+++ b/common/command_line.cc
@@ -7,13 +7,10 @@
 #include <iostream>
 #include <sstream>
 
-#ifndef RAMPPOND_VERSION
-#define RAMPPOND_VERSION "0.1.0"
-#endif
-
 namespace ramppond {
 namespace {
 
+constexpr char kVersion[] = "0.1.0";
 constexpr int kFirstOptionCode = 256;
 constexpr std::size_t kHelpColumn = 28;
 
@@ -60,7 +57,7 @@
     printHelp(full);
     exit_code_ = ExitCode::kSuccess;
   } else if (has("version")) {
-    std::cout << spec.program << ' ' << RAMPPOND_VERSION << '\n';
+    std::cout << spec.program << ' ' << kVersion << '\n';
     exit_code_ = ExitCode::kSuccess;
   }
 }
--- a/common/logging.cc
+++ b/common/logging.cc
@@ -29,6 +29,10 @@
 
 }  // namespace
 
+LogFormat parseLogFormat(const std::string& text) {
+  return text == "json" ? LogFormat::kJson : LogFormat::kText;
+}
+
 void startLogging(LogFormat format, const std::string& component) {
   chosenFormat() = format;
   componentName() = component;
--- a/common/logging.h
+++ b/common/logging.h
@@ -8,6 +8,9 @@
 
 enum class LogFormat { kText, kJson };
 
+/// "json", or text for anything else.
+LogFormat parseLogFormat(const std::string& text);
+
 struct LogField {
   std::string key;
   std::string value;
--- a/common/process.cc
+++ b/common/process.cc
@@ -44,14 +44,6 @@
   sigwait(&signals, &received);
 }
 
-void waitForStopSignal(Duration timeout) {
-  const sigset_t signals = stopSignals();
-  const auto whole_seconds = std::chrono::duration_cast<std::chrono::seconds>(timeout);
-  timespec limit{};
-  limit.tv_sec = whole_seconds.count();
-  sigtimedwait(&signals, nullptr, &limit);
-}
-
 void raiseFileLimit() {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) == 0) {
--- a/common/process.h
+++ b/common/process.h
@@ -18,8 +18,6 @@
 void blockStopSignals();
 /// Waits until one of them arrives.
 void waitForStopSignal();
-/// The same, but not longer than `timeout`.
-void waitForStopSignal(Duration timeout);
 /// Sets the allowed number of open files to the hard limit.
 void raiseFileLimit();
 
--- a/common/program.cc
+++ b/common/program.cc
@@ -19,4 +19,9 @@
   return ExitCode::kSuccess;
 }
 
+ExitCode reportFailure(const std::string& prefix, const std::string& reason) {
+  std::cerr << prefix << reason << '\n';
+  return ExitCode::kFailure;
+}
+
 }  // namespace ramppond
--- a/common/settings.cc
+++ b/common/settings.cc
@@ -283,4 +283,24 @@
   return endpoint.value_or(Endpoint{});
 }
 
+void requireEndpoints(SettingsTable& table, const std::string& key,
+                      const std::vector<std::string>& values) {
+  for (const std::string& value : values) {
+    if (!parseEndpoint(value)) {
+      table.reject(key, "expected HOST:PORT with a numeric IPv4 host, found '" + value + "'");
+    }
+  }
+}
+
+std::vector<std::string> addressesAtPort(const std::vector<std::string>& endpoints,
+                                         std::uint16_t port) {
+  std::vector<std::string> addresses;
+  for (const std::string& text : endpoints) {
+    if (const auto endpoint = parseEndpoint(text)) {
+      addresses.push_back(Endpoint{endpoint->host, port}.toString());
+    }
+  }
+  return addresses;
+}
+
 }  // namespace ramppond
--- a/common/settings.h
+++ b/common/settings.h
@@ -9,6 +9,7 @@
 #include <memory>
 #include <optional>
 #include <string>
+#include <utility>
 #include <vector>
 
 namespace ramppond {
@@ -95,4 +96,28 @@
 /// Reads a key that holds an address; an empty fallback makes it a required one.
 Endpoint endpointSetting(SettingsTable& table, const std::string& key, const std::string& fallback);
 
+/// Rejects `key` for each of its `values` that is no address.
+void requireEndpoints(SettingsTable& table, const std::string& key,
+                      const std::vector<std::string>& values);
+
+/// The hosts of `endpoints` at another port; what is no address is left out.
+std::vector<std::string> addressesAtPort(const std::vector<std::string>& endpoints,
+                                         std::uint16_t port);
+
+/// Reads the file `path` by `read(root)`, which asks for every key and gives the settings. On an
+/// error, a key that nobody asked for among them, gives nothing and sets `error`.
+template <class Read>
+auto readSettingsFile(const std::string& path, std::string& error, Read read)
+    -> std::optional<decltype(read(std::declval<SettingsTable&>()))> {
+  SettingsFile file(path);
+  SettingsTable root = file.root();
+  auto settings = read(root);
+  root.finish();
+  if (file.error()) {
+    error = *file.error();
+    return std::nullopt;
+  }
+  return settings;
+}
+
 }  // namespace ramppond
--- a/control/control_main.cc
+++ b/control/control_main.cc
@@ -1,11 +1,30 @@
 // ramppond-control: a member of the replicated control group.
-#include <iostream>
-
 #include "common/logging.h"
 #include "common/process.h"
 #include "common/program.h"
 #include "control/control_process.h"
 
+namespace ramppond {
+namespace {
+
+ExitCode run(const CommandLine& command_line, ControlSettings& settings) {
+  settings.data_folder = command_line.value("data-folder", settings.data_folder);
+  if (command_line.has("log-format")) {
+    settings.log_format = parseLogFormat(command_line.value("log-format"));
+  }
+  startLogging(settings.log_format, "ramppond-control/" + settings.name);
+  ControlProcess control(settings);
+  if (const auto error = control.start()) {
+    return reportFailure("ramppond-control: ", *error);
+  }
+  waitForStopSignal();
+  control.stop();
+  return ExitCode::kSuccess;
+}
+
+}  // namespace
+}  // namespace ramppond
+
 int main(int argc, char** argv) {
   using namespace ramppond;
   blockStopSignals();
@@ -19,27 +38,5 @@
   spec.options = commonOptions();
   spec.options.push_back({"log-format", "text|json", "overrides log_format of the file"});
   spec.options.push_back({"data-folder", "PATH", "overrides data_folder of the file"});
-  const CommandLine command_line(spec, argc, argv);
-  if (command_line.exitCode()) {
-    return exitStatus(*command_line.exitCode());
-  }
-  ExitCode exit_code = ExitCode::kSuccess;
-  auto settings = loadSettings<ControlSettings>(command_line, readControlSettings, exit_code);
-  if (!settings) {
-    return exitStatus(exit_code);
-  }
-  settings->data_folder = command_line.value("data-folder", settings->data_folder);
-  if (command_line.has("log-format")) {
-    settings->log_format =
-        command_line.value("log-format") == "json" ? LogFormat::kJson : LogFormat::kText;
-  }
-  startLogging(settings->log_format, "ramppond-control/" + settings->name);
-  ControlProcess control(*settings);
-  if (const auto error = control.start()) {
-    std::cerr << "ramppond-control: " << *error << '\n';
-    return exitStatus(ExitCode::kFailure);
-  }
-  waitForStopSignal();
-  control.stop();
-  return exitStatus(ExitCode::kSuccess);
+  return runProgram<ControlSettings>(spec, argc, argv, readControlSettings, run);
 }
--- a/control/control_settings.cc
+++ b/control/control_settings.cc
@@ -10,11 +10,7 @@
 constexpr std::int64_t kDefaultHeartbeatMs = 80;
 constexpr std::int64_t kDefaultEntriesPerSnapshot = 20000;
 
-}  // namespace
-
-std::optional<ControlSettings> readControlSettings(const std::string& path, std::string& error) {
-  SettingsFile file(path);
-  SettingsTable root = file.root();
+ControlSettings settingsOf(SettingsTable& root) {
   ControlSettings settings;
   settings.name = root.requiredString("name");
   settings.address = endpointSetting(root, "address", "");
@@ -30,14 +26,14 @@
   }
   settings.entries_per_snapshot = static_cast<std::uint64_t>(
       root.optionalInteger("entries_per_snapshot", kDefaultEntriesPerSnapshot, kSnapshotRange));
-  settings.log_format =
-      root.choice("log_format", {"text", "json"}) == "json" ? LogFormat::kJson : LogFormat::kText;
-  root.finish();
-  if (file.error()) {
-    error = *file.error();
-    return std::nullopt;
-  }
+  settings.log_format = parseLogFormat(root.choice("log_format", {"text", "json"}));
   return settings;
 }
 
+}  // namespace
+
+std::optional<ControlSettings> readControlSettings(const std::string& path, std::string& error) {
+  return readSettingsFile(path, error, settingsOf);
+}
+
 }  // namespace ramppond
--- a/control/coordinator/coordinator_process.cc
+++ b/control/coordinator/coordinator_process.cc
@@ -155,14 +155,8 @@
   if (!settings_.first_start) {
     return;
   }
-  std::vector<std::string> addresses;
-  for (const std::string& seed : settings_.seeds) {
-    const auto endpoint = parseEndpoint(seed);
-    if (endpoint) {
-      addresses.push_back(Endpoint{endpoint->host, settings_.member_address.port}.toString());
-    }
-  }
-  const Membership members = firstMembership(addresses);
+  const Membership members =
+      firstMembership(addressesAtPort(settings_.seeds, settings_.member_address.port));
   if (core_->bootstrapGroup(firstGroupId(members), members, EventLoop::now())) {
     logEvent(EventLoop::now().count(), "bootstrapped",
              {{"members", std::to_string(members.members.size())}});
@@ -285,13 +279,8 @@
     return;
   }
   next_join_ = now + kJoinInterval;
-  std::vector<std::string> targets;
-  for (const std::string& seed : settings_.seeds) {
-    const auto endpoint = parseEndpoint(seed);
-    if (endpoint) {
-      targets.push_back(Endpoint{endpoint->host, settings_.member_address.port}.toString());
-    }
-  }
+  std::vector<std::string> targets =
+      addressesAtPort(settings_.seeds, settings_.member_address.port);
   for (const Member& member : raft.membership().members) {
     targets.push_back(member.address);
   }
--- a/control/coordinator/coordinator_settings.cc
+++ b/control/coordinator/coordinator_settings.cc
@@ -1,11 +1,9 @@
 #include "control/coordinator/coordinator_settings.h"
 
 namespace ramppond {
+namespace {
 
-std::optional<CoordinatorSettings> readCoordinatorSettings(const std::string& path,
-                                                           std::string& error) {
-  SettingsFile file(path);
-  SettingsTable root = file.root();
+CoordinatorSettings settingsOf(SettingsTable& root) {
   CoordinatorSettings settings;
   settings.name = root.requiredString("name");
   settings.operator_address = endpointSetting(root, "operator_address", "");
@@ -15,17 +13,15 @@
   settings.seeds = root.strings("seeds");
   settings.bounds = root.strings("bounds");
   settings.first_start = root.optionalBool("first_start", false);
-  for (const std::string& seed : settings.seeds) {
-    if (!parseEndpoint(seed)) {
-      root.reject("seeds", "expected HOST:PORT with a numeric IPv4 host, found '" + seed + "'");
-    }
-  }
-  root.finish();
-  if (file.error()) {
-    error = *file.error();
-    return std::nullopt;
-  }
+  requireEndpoints(root, "seeds", settings.seeds);
   return settings;
 }
 
+}  // namespace
+
+std::optional<CoordinatorSettings> readCoordinatorSettings(const std::string& path,
+                                                           std::string& error) {
+  return readSettingsFile(path, error, settingsOf);
+}
+
 }  // namespace ramppond
--- a/daemon/daemon_settings.cc
+++ b/daemon/daemon_settings.cc
@@ -24,11 +24,7 @@
   return values;
 }
 
-}  // namespace
-
-std::optional<DaemonSettings> readDaemonSettings(const std::string& path, std::string& error) {
-  SettingsFile file(path);
-  SettingsTable root = file.root();
+DaemonSettings settingsOf(SettingsTable& root) {
   DaemonSettings settings;
   settings.server = root.requiredString("server");
   settings.service = root.requiredString("service");
@@ -43,18 +39,18 @@
   settings.subscriptions = root.strings("subscriptions");
   settings.data_folder = root.optionalString("data_folder", "");
   settings.policy = root.choice("policy", overloadPolicyNames());
-  settings.log_format =
-      root.choice("log_format", {"text", "json"}) == "json" ? LogFormat::kJson : LogFormat::kText;
+  settings.log_format = parseLogFormat(root.choice("log_format", {"text", "json"}));
   settings.maximum_body_bytes = static_cast<std::size_t>(
       root.optionalInteger("maximum_body_bytes", kDefaultMaximumBody, kBodyRange));
   settings.backend_connections = static_cast<std::size_t>(
       root.optionalInteger("backend_connections", kDefaultConnections, kConnectionRange));
-  root.finish();
-  if (file.error()) {
-    error = *file.error();
-    return std::nullopt;
-  }
   return settings;
 }
 
+}  // namespace
+
+std::optional<DaemonSettings> readDaemonSettings(const std::string& path, std::string& error) {
+  return readSettingsFile(path, error, settingsOf);
+}
+
 }  // namespace ramppond
--- a/lab/backend_process.cc
+++ b/lab/backend_process.cc
@@ -29,11 +29,7 @@
 constexpr std::size_t kMaximumRequestBytes = 4 << 20;
 constexpr int kBadGateway = 502;
 
-}  // namespace
-
-std::optional<BackendSettings> readBackendSettings(const std::string& path, std::string& error) {
-  SettingsFile file(path);
-  SettingsTable root = file.root();
+BackendSettings settingsOf(SettingsTable& root) {
   BackendSettings settings;
   settings.server = root.requiredString("server");
   settings.service = root.requiredString("service");
@@ -44,14 +40,15 @@
   settings.history = root.optionalString("history", "");
   settings.random_seed =
       static_cast<std::uint64_t>(root.optionalInteger("random_seed", 1, {0, 1LL << 60}));
-  root.finish();
-  if (file.error()) {
-    error = *file.error();
-    return std::nullopt;
-  }
   return settings;
 }
 
+}  // namespace
+
+std::optional<BackendSettings> readBackendSettings(const std::string& path, std::string& error) {
+  return readSettingsFile(path, error, settingsOf);
+}
+
 // `mutex_` guards everything below it. Runs are driven by the server's, the client's and the
 // timer's threads; each step takes the lock, moves one run on and hands out the next wait.
 class BackendProcess::Impl {
--- a/lab/fleet_main.cc
+++ b/lab/fleet_main.cc
@@ -48,10 +48,8 @@
   options.faults = command_line.values("fault");
   options.random_seed = parseUnsigned(command_line.value("seed", "1")).value_or(1);
   options.quiet = command_line.has("quiet");
-  const std::string retry = command_line.value("retry", "obey");
-  options.retry = retry == "hard"   ? ClientRetry::kHard
-                  : retry == "none" ? ClientRetry::kNone
-                                    : ClientRetry::kObey;
+  const auto retry = parseClientRetry(command_line.value("retry", "obey"));
+  options.retry = retry.value_or(ClientRetry::kObey);
   for (const std::string& fault : options.faults) {
     const auto known = fleetFaults();
     const bool found = std::any_of(known.begin(), known.end(),
--- a/lab/load_generator.cc
+++ b/lab/load_generator.cc
@@ -250,6 +250,16 @@
 
 }  // namespace
 
+std::optional<ClientRetry> parseClientRetry(const std::string& text) {
+  if (text == "none") {
+    return ClientRetry::kNone;
+  }
+  if (text == "obey") {
+    return ClientRetry::kObey;
+  }
+  return text == "hard" ? std::optional(ClientRetry::kHard) : std::nullopt;
+}
+
 double percentileOf(std::vector<std::int64_t> values, double percentile) {
   if (values.empty()) {
     return 0;
--- a/lab/load_generator.h
+++ b/lab/load_generator.h
@@ -4,6 +4,7 @@
 #include <cstdint>
 #include <map>
 #include <memory>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -18,6 +19,9 @@
   kHard,  ///< Comes back at once, up to the limit.
 };
 
+/// Of the words none, obey and hard; nothing for another.
+std::optional<ClientRetry> parseClientRetry(const std::string& text);
+
 struct LoadOptions {
   std::vector<std::string> targets;  ///< Front ports, HOST:PORT, used in turn.
   double rate = 10;                  ///< Front requests per second.
--- a/lab/load_main.cc
+++ b/lab/load_main.cc
@@ -36,10 +36,8 @@
   options.rate = std::atof(command_line.value("rate", "10").c_str());
   const double duration = std::atof(command_line.value("duration", "10").c_str());
   options.duration = Duration(static_cast<std::int64_t>(duration * 1e6));
-  const std::string retry = command_line.value("retry", "obey");
-  options.retry = retry == "hard"   ? ClientRetry::kHard
-                  : retry == "none" ? ClientRetry::kNone
-                                    : ClientRetry::kObey;
+  const auto retry = parseClientRetry(command_line.value("retry", "obey"));
+  options.retry = retry.value_or(ClientRetry::kObey);
   const auto retries = parseUnsigned(command_line.value("retries", "3"));
   const auto seed = parseUnsigned(command_line.value("seed", "1"));
   options.maximum_retries = static_cast<std::uint32_t>(retries.value_or(0));
@@ -47,8 +45,7 @@
   options.only_work = command_line.value("work");
   options.direct = command_line.has("direct");
   options.history = command_line.value("history");
-  const bool retry_known = retry == "none" || retry == "obey" || retry == "hard";
-  if (options.targets.empty() || options.rate <= 0 || duration <= 0 || !retry_known || !retries ||
+  if (options.targets.empty() || options.rate <= 0 || duration <= 0 || !retry || !retries ||
       !seed) {
     std::cerr << "ramppond-load: expected --target HOST:PORT, --rate and --duration above 0, "
                  "--retry none|obey|hard\n";
@@ -57,25 +54,20 @@
   return options;
 }
 
+ExitCode run(const CommandLine& command_line, const Deployment& deployment) {
+  const auto options = loadOptions(command_line);
+  if (!options) {
+    return ExitCode::kUsage;
+  }
+  std::cout << runLoad(deployment, *options).toJson();
+  return ExitCode::kSuccess;
+}
+
 }  // namespace
 }  // namespace ramppond
 
 int main(int argc, char** argv) {
   using namespace ramppond;
   raiseFileLimit();
-  const CommandLine command_line(commandLineSpec(), argc, argv);
-  if (command_line.exitCode()) {
-    return exitStatus(*command_line.exitCode());
-  }
-  ExitCode exit_code = ExitCode::kSuccess;
-  const auto deployment = loadSettings<Deployment>(command_line, readDeployment, exit_code);
-  if (!deployment) {
-    return exitStatus(exit_code);
-  }
-  const auto options = loadOptions(command_line);
-  if (!options) {
-    return exitStatus(ExitCode::kUsage);
-  }
-  std::cout << runLoad(*deployment, *options).toJson();
-  return exitStatus(ExitCode::kSuccess);
+  return runProgram<Deployment>(commandLineSpec(), argc, argv, readDeployment, run);
 }
--- a/lab/platform_main.cc
+++ b/lab/platform_main.cc
@@ -1,6 +1,5 @@
 // ramppond-platform: a stand-in for the platform's list of live and leaving machines, which lags.
 #include <deque>
-#include <iostream>
 #include <mutex>
 
 #include "common/process.h"
@@ -16,20 +15,17 @@
   Duration lag{0};
 };
 
-std::optional<PlatformSettings> readPlatformSettings(const std::string& path, std::string& error) {
-  SettingsFile file(path);
-  SettingsTable root = file.root();
+PlatformSettings settingsOf(SettingsTable& root) {
   PlatformSettings settings;
   settings.listen = endpointSetting(root, "listen", "");
   settings.lag = milliseconds(root.optionalInteger("lag_ms", 0, {0, 600000}));
-  root.finish();
-  if (file.error()) {
-    error = *file.error();
-    return std::nullopt;
-  }
   return settings;
 }
 
+std::optional<PlatformSettings> readPlatformSettings(const std::string& path, std::string& error) {
+  return readSettingsFile(path, error, settingsOf);
+}
+
 // GET /servers gives the newest list that is at least `lag` old; PUT /servers sets the true list.
 // The first list is visible at once.
 class PlatformList {
@@ -75,30 +71,10 @@
   return response;
 }
 
-}  // namespace
-}  // namespace ramppond
-
-int main(int argc, char** argv) {
-  using namespace ramppond;
-  blockStopSignals();
-  CommandLineSpec spec;
-  spec.program = "ramppond-platform";
-  spec.synopsis = "--config FILE";
-  spec.description = "Serves a list of servers that lags behind what it was last told.";
-  spec.options = commonOptions();
-  const CommandLine command_line(spec, argc, argv);
-  if (command_line.exitCode()) {
-    return exitStatus(*command_line.exitCode());
-  }
-  ExitCode exit_code = ExitCode::kSuccess;
-  const auto settings =
-      loadSettings<PlatformSettings>(command_line, readPlatformSettings, exit_code);
-  if (!settings) {
-    return exitStatus(exit_code);
-  }
-  PlatformList list(settings->lag);
+ExitCode run(const CommandLine& /*command_line*/, const PlatformSettings& settings) {
+  PlatformList list(settings.lag);
   HttpServerOptions options;
-  options.listen = settings->listen;
+  options.listen = settings.listen;
   options.maximum_request_bytes = 16 << 20;
   std::unique_ptr<HttpServer> server;
   server = std::make_unique<HttpServer>(
@@ -108,10 +84,23 @@
       },
       [](HttpToken) {});
   if (const auto reason = server->start()) {
-    std::cerr << "ramppond-platform: " << *reason << '\n';
-    return exitStatus(ExitCode::kFailure);
+    return reportFailure("ramppond-platform: ", *reason);
   }
   waitForStopSignal();
   server->stop();
-  return exitStatus(ExitCode::kSuccess);
+  return ExitCode::kSuccess;
+}
+
+}  // namespace
+}  // namespace ramppond
+
+int main(int argc, char** argv) {
+  using namespace ramppond;
+  blockStopSignals();
+  CommandLineSpec spec;
+  spec.program = "ramppond-platform";
+  spec.synopsis = "--config FILE";
+  spec.description = "Serves a list of servers that lags behind what it was last told.";
+  spec.options = commonOptions();
+  return runProgram<PlatformSettings>(spec, argc, argv, readPlatformSettings, run);
 }
