--- a/lab/deployment.cc
+++ b/lab/deployment.cc
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <limits>
+#include <map>
 
 #include "common/settings.h"
 
@@ -128,18 +129,6 @@
   return found == services.end() ? nullptr : &*found;
 }
 
-std::uint32_t Deployment::treeSize(const std::string& service, const std::string& path) const {
-  const ServiceSpec* spec = findService(service);
-  const Route* route = spec == nullptr ? nullptr : spec->findRoute(path);
-  std::uint32_t size = 1;
-  if (route != nullptr) {
-    for (const RouteCall& call : route->calls) {
-      size += treeSize(call.service, call.path);
-    }
-  }
-  return size;
-}
-
 std::vector<double> Deployment::slotMs(const std::string& service, const std::string& path) const {
   std::vector<double> total(services.size(), 0);
   const ServiceSpec* spec = findService(service);
@@ -195,6 +184,22 @@
   return capacity;
 }
 
+std::string Deployment::mostCalledService() const {
+  std::map<std::string, int> called;
+  for (const ServiceSpec& service : services) {
+    for (const Route& route : service.routes) {
+      for (const RouteCall& call : route.calls) {
+        called[call.service] += 1;
+      }
+    }
+  }
+  std::string most = services.back().name;
+  for (const auto& [service, count] : called) {
+    most = count > called[most] ? service : most;
+  }
+  return most;
+}
+
 std::vector<ConfigurationChange> Deployment::initialChanges() const {
   std::vector<ConfigurationChange> changes;
   for (const ClassSpec& spec : classes) {
@@ -216,9 +221,9 @@
   return changes;
 }
 
-std::optional<Deployment> readDeployment(const std::string& path, std::string& error) {
-  SettingsFile file(path);
-  SettingsTable root = file.root();
+namespace {
+
+Deployment deploymentOf(SettingsTable& root) {
   Deployment deployment;
   deployment.name = root.requiredString("name");
   deployment.zones = root.strings("zones");
@@ -248,12 +253,13 @@
     root.reject("work", "expected at least one [[work]]");
   }
   checkReferences(deployment, root);
-  root.finish();
-  if (file.error()) {
-    error = *file.error();
-    return std::nullopt;
-  }
   return deployment;
 }
 
+}  // namespace
+
+std::optional<Deployment> readDeployment(const std::string& path, std::string& error) {
+  return readSettingsFile(path, error, deploymentOf);
+}
+
 }  // namespace ramppond
--- a/lab/deployment.h
+++ b/lab/deployment.h
@@ -68,13 +68,13 @@
   [[nodiscard]] const std::string& zoneOf(std::uint32_t index) const {
     return zones[index % zones.size()];
   }
-  /// Calls of one front request, counting the first: the size of its tree.
-  [[nodiscard]] std::uint32_t treeSize(const std::string& service, const std::string& path) const;
   /// Slot time in ms that one request of a route takes on each service, in order of `services`.
   [[nodiscard]] std::vector<double> slotMs(const std::string& service,
                                            const std::string& path) const;
   /// Front requests per second, in the given mix, that use up the first service to run out.
   [[nodiscard]] double capacityPerSecond() const;
+  /// The service that others call most: deep in every chain.
+  [[nodiscard]] std::string mostCalledService() const;
   /// The changes that make the first configuration.
   [[nodiscard]] std::vector<ConfigurationChange> initialChanges() const;
 };
--- a/lab/fleet_run.cc
+++ b/lab/fleet_run.cc
@@ -278,19 +278,7 @@
 }
 
 std::string FleetRun::victim() const {
-  std::map<std::string, int> called;
-  for (const ServiceSpec& service : fleet_.deployment().services) {
-    for (const Route& route : service.routes) {
-      for (const RouteCall& call : route.calls) {
-        called[call.service] += 1;
-      }
-    }
-  }
-  std::string most = fleet_.deployment().services.front().name;
-  for (const auto& [service, count] : called) {
-    most = count > called[most] ? service : most;
-  }
-  return most + "-1";
+  return fleet_.deployment().mostCalledService() + "-1";
 }
 
 std::size_t FleetRun::follower() {
--- a/lab/simulation/simulation.cc
+++ b/lab/simulation/simulation.cc
@@ -1,7 +1,6 @@
 #include "lab/simulation/simulation.h"
 
 #include <algorithm>
-#include <map>
 
 namespace ramppond {
 namespace {
@@ -198,22 +197,6 @@
   return found;
 }
 
-std::string Simulation::deepestService() const {
-  std::map<std::string, int> called;
-  for (const ServiceSpec& service : deployment_.services) {
-    for (const Route& route : service.routes) {
-      for (const RouteCall& call : route.calls) {
-        called[call.service] += 1;
-      }
-    }
-  }
-  std::string most = deployment_.services.back().name;
-  for (const auto& [service, count] : called) {
-    most = count > called[most] ? service : most;
-  }
-  return most;
-}
-
 std::set<std::string> Simulation::worksReaching(const std::string& service) const {
   std::set<std::string> works;
   for (const WorkSpec& work : deployment_.works) {
--- a/lab/simulation/simulation.h
+++ b/lab/simulation/simulation.h
@@ -49,8 +49,7 @@
 
   SimulatedDaemon& randomDaemon();
   std::vector<SimulatedDaemon*> serversOf(const std::string& service);
-  /// The service that others call most: deep in every chain.
-  [[nodiscard]] std::string deepestService() const;
+  [[nodiscard]] std::string deepestService() const { return deployment_.mostCalledService(); }
   /// Names of the work types whose call trees reach `service`.
   [[nodiscard]] std::set<std::string> worksReaching(const std::string& service) const;
   /// The leading control member, or nullptr.
