--- a/common/command_line.cc
+++ b/common/command_line.cc
@@ -94,6 +94,14 @@
   return parts;
 }
 
+std::string joinList(const std::vector<std::string>& parts) {
+  std::string text;
+  for (const std::string& part : parts) {
+    text += (text.empty() ? "" : ",") + part;
+  }
+  return text;
+}
+
 std::optional<std::uint64_t> parseUnsigned(const std::string& text) {
   std::uint64_t value = 0;
   const char* end = text.data() + text.size();
--- a/common/command_line.h
+++ b/common/command_line.h
@@ -58,6 +58,8 @@
 
 /// Splits "a,b,c"; empty parts are dropped.
 std::vector<std::string> splitList(const std::string& text, char separator = ',');
+/// "a,b,c" of its parts.
+std::string joinList(const std::vector<std::string>& parts);
 /// A whole decimal number, or nothing.
 std::optional<std::uint64_t> parseUnsigned(const std::string& text);
 
--- a/lab/fleet.cc
+++ b/lab/fleet.cc
@@ -7,6 +7,7 @@
 #include <sstream>
 #include <thread>
 
+#include "common/command_line.h"
 #include "common/metrics.h"
 #include "common/process.h"
 #include "control/platform_list.h"
@@ -321,11 +322,7 @@
   target.backend_process->signal(SIGKILL);
   target.daemon->wait();
   target.backend_process->wait();
-  HistoryEvent event;
-  event.time_us = monotonicNow().count();
-  event.type = HistoryEventType::kServerKilled;
-  event.who = name;
-  record(event);
+  record(HistoryEventType::kServerKilled, name);
 }
 
 void Fleet::restartServer(const std::string& name) {
@@ -334,11 +331,7 @@
 
 bool Fleet::stopServerAsPlanned(const std::string& name) {
   Server& target = server(name);
-  HistoryEvent event;
-  event.time_us = monotonicNow().count();
-  event.type = HistoryEventType::kBackendDraining;
-  event.who = name;
-  record(event);
+  record(HistoryEventType::kBackendDraining, name);
   target.daemon->signal(SIGTERM);
   const bool daemon_ended = target.daemon->wait() == 0;
   target.backend_process->signal(SIGTERM);
@@ -368,16 +361,12 @@
 
 bool Fleet::readdControl(std::size_t index) {
   const std::string process = "control " + std::to_string(index);
-  std::string addresses;
-  for (std::size_t other = 0; other < control_.size(); ++other) {
-    if (other != index) {
-      addresses += (addresses.empty() ? "" : ",") + control_[other].address.address();
-    }
-  }
+  std::vector<std::string> others = controlAddresses();
+  others.erase(others.begin() + static_cast<std::ptrdiff_t>(index));
   const auto succeeds = [&](const std::vector<std::string>& command) {
     return waitFor(
         [&] {
-          std::vector<std::string> arguments = {"--control", addresses};
+          std::vector<std::string> arguments = {"--control", joinList(others)};
           arguments.insert(arguments.end(), command.begin(), command.end());
           std::string output;
           return operatorCommand(arguments, output) == 0;
@@ -428,11 +417,7 @@
 int Fleet::operatorCommand(const std::vector<std::string>& arguments, std::string& output) {
   std::vector<std::string> command = {program("ramppond")};
   if (std::find(arguments.begin(), arguments.end(), "--control") == arguments.end()) {
-    std::string addresses;
-    for (const std::string& address : controlAddresses()) {
-      addresses += (addresses.empty() ? "" : ",") + address;
-    }
-    command.insert(command.end(), {"--control", addresses});
+    command.insert(command.end(), {"--control", joinList(controlAddresses())});
   }
   command.insert(command.end(), arguments.begin(), arguments.end());
   const std::string log = path("operator.out");
@@ -480,6 +465,14 @@
   return true;
 }
 
+void Fleet::record(HistoryEventType type, const std::string& who) {
+  HistoryEvent event;
+  event.time_us = monotonicNow().count();
+  event.type = type;
+  event.who = who;
+  record(event);
+}
+
 std::vector<HistoryEvent> Fleet::history() const {
   std::vector<std::string> paths = {callerHistoryPath(), path("rig.jsonl")};
   for (const auto& server : servers_) {
--- a/lab/fleet.h
+++ b/lab/fleet.h
@@ -78,6 +78,8 @@
     return options_.program_folder + "/" + name;
   }
   void record(const HistoryEvent& event) { rig_history_.record(event); }
+  /// Something that happens to `who` now.
+  void record(HistoryEventType type, const std::string& who);
 
  private:
   struct Server {
--- a/lab/fleet_run.cc
+++ b/lab/fleet_run.cc
@@ -12,6 +12,7 @@
 #include <sstream>
 #include <thread>
 
+#include "common/command_line.h"
 #include "common/process.h"
 
 namespace ramppond {
@@ -108,19 +109,15 @@
 };
 
 std::unique_ptr<ChildProcess> FleetRun::startLoad() {
-  std::string targets;
-  for (const std::string& address : fleet_.frontAddresses()) {
-    targets += (targets.empty() ? "" : ",") + address;
-  }
   static const std::map<ClientRetry, std::string> kRetryNames = {
       {ClientRetry::kNone, "none"}, {ClientRetry::kObey, "obey"}, {ClientRetry::kHard, "hard"}};
   const double duration = static_cast<double>(options_.duration.count()) / 1e6;
   return std::make_unique<ChildProcess>(
       std::vector<std::string>{
           fleet_.program("ramppond-load"), "--config", fleet_.folder() + "/deployment.toml",
-          "--target", targets, "--rate", std::to_string(options_.rate), "--duration",
-          std::to_string(duration), "--retry", kRetryNames.at(options_.retry), "--history",
-          fleet_.callerHistoryPath(), "--seed", std::to_string(options_.random_seed)},
+          "--target", joinList(fleet_.frontAddresses()), "--rate", std::to_string(options_.rate),
+          "--duration", std::to_string(duration), "--retry", kRetryNames.at(options_.retry),
+          "--history", fleet_.callerHistoryPath(), "--seed", std::to_string(options_.random_seed)},
       fleet_.folder() + "/load.json");
 }
 
@@ -309,11 +306,7 @@
   if (!clean) {
     result_.unclean_exits.push_back(server);
   }
-  HistoryEvent event;
-  event.time_us = monotonicNow().count();
-  event.type = HistoryEventType::kBackendStopped;
-  event.who = server;
-  fleet_.record(event);
+  fleet_.record(HistoryEventType::kBackendStopped, server);
   fleet_.restartServer(server);
   fleet_.tellPlatform({});
   return "stopped " + server + " as planned and restarted it";
@@ -325,15 +318,9 @@
   if (!planAndConfirm({"drain", server}, version)) {
     return "drain failed";
   }
-  HistoryEvent event;
-  event.time_us = monotonicNow().count();
-  event.type = HistoryEventType::kBackendDraining;
-  event.who = server;
-  fleet_.record(event);
+  fleet_.record(HistoryEventType::kBackendDraining, server);
   std::this_thread::sleep_for(kDrainGrace + kFaultLength);
-  event.time_us = monotonicNow().count();
-  event.type = HistoryEventType::kBackendStopped;  // The end of its leaving: it comes back.
-  fleet_.record(event);
+  fleet_.record(HistoryEventType::kBackendStopped, server);  // It is asked back.
   if (!planAndConfirm({"restore", server}, version)) {
     return "restore failed";
   }
--- a/lab/latency_run.cc
+++ b/lab/latency_run.cc
@@ -6,6 +6,8 @@
 #include <nlohmann/json.hpp>
 #include <ostream>
 
+#include "common/command_line.h"
+
 namespace ramppond {
 namespace {
 
@@ -16,14 +18,6 @@
   double p99_ms = 0;
 };
 
-std::string joinedAddresses(const std::vector<std::string>& addresses) {
-  std::string text;
-  for (const std::string& address : addresses) {
-    text += (text.empty() ? "" : ",") + address;
-  }
-  return text;
-}
-
 std::unique_ptr<ChildProcess> startLoad(const Fleet& fleet, bool direct, double rate,
                                         Duration duration, const std::string& report) {
   const auto targets = direct ? fleet.backendAddresses() : fleet.frontAddresses();
@@ -31,7 +25,7 @@
                                       "--config",
                                       fleet.folder() + "/deployment.toml",
                                       "--target",
-                                      joinedAddresses(targets),
+                                      joinList(targets),
                                       "--rate",
                                       std::to_string(rate * static_cast<double>(targets.size())),
                                       "--duration",
