--- a/core/call_port/daemon_core.h
+++ b/core/call_port/daemon_core.h
@@ -86,7 +86,6 @@
   [[nodiscard]] const OutboundCalls& outbound() const { return outbound_; }
   [[nodiscard]] const ControlSession& session() const { return session_; }
   [[nodiscard]] const FrontCounters& frontCounters() const { return front_counters_; }
-  [[nodiscard]] const Router& router() const { return router_; }
 
  private:
   void settle(TimePoint now, DaemonActions& actions);
--- a/core/control/control_core.h
+++ b/core/control/control_core.h
@@ -105,7 +105,6 @@
   [[nodiscard]] ControlStatus status(TimePoint now) const;
   [[nodiscard]] std::size_t listedServers() const { return registry_.listedServers(); }
   [[nodiscard]] std::size_t heldPolls() const { return polls_.size() + proxy_polls_.size(); }
-  [[nodiscard]] const InstanceRegistry& instances() const { return instances_; }
   /// Address of a member, for the driver to send Raft messages to.
   [[nodiscard]] std::string addressOf(NodeId id) const;
   /// Hears from a leader, or is one with a quorum.
--- a/lab/child_process.h
+++ b/lab/child_process.h
@@ -20,7 +20,6 @@
   ChildProcess(const ChildProcess&) = delete;
   ChildProcess& operator=(const ChildProcess&) = delete;
 
-  [[nodiscard]] pid_t pid() const { return pid_; }
   void signal(int number) const;
   /// Whether it still runs; reaps it if not.
   bool running();
--- a/lab/simulation/simulated_control.h
+++ b/lab/simulation/simulated_control.h
@@ -48,7 +48,6 @@
   [[nodiscard]] bool leads() const {
     return core_ != nullptr && core_->raft().role() == RaftRole::kLeader;
   }
-  MemoryFileSystem& files() { return files_; }
 
  private:
   struct Waiting {
--- a/net/admin_pages.h
+++ b/net/admin_pages.h
@@ -21,7 +21,6 @@
   AdminPages(const Endpoint& listen, std::string title, Collector collect);
   void onPost(const std::string& path, PostAction action);
   std::optional<std::string> start() { return server_->start(); }
-  [[nodiscard]] std::uint16_t port() const { return server_->port(); }
 
  private:
   void answer(HttpToken token, const HttpRequest& request);
