--- a/lab/fleet.cc
+++ b/lab/fleet.cc
@@ -15,36 +15,7 @@
 namespace ramppond {
 namespace {
 
-constexpr Duration kStartTimeout = seconds(20);
 constexpr Duration kPollPause = milliseconds(20);
-constexpr Duration kRequestTimeout = seconds(2);
-constexpr Duration kGroupTimeout = seconds(10);
-
-// A name made unusable for paths is never made: names come from checked settings.
-std::string tomlString(const std::string& text) {
-  return "\"" + text + "\"";
-}
-
-std::string tomlList(const std::vector<std::string>& items) {
-  std::string text = "[";
-  for (const std::string& item : items) {
-    text += (text.size() > 1 ? ", " : "") + tomlString(item);
-  }
-  return text + "]";
-}
-
-void writeFile(const std::string& path, const std::string& text) {
-  std::ofstream file(path, std::ios::trunc);
-  file << text;
-}
-
-HttpClientResult get(HttpClient& client, const std::string& url) {
-  HttpClientRequest request;
-  request.method = "GET";
-  request.url = url;
-  request.timeout = kRequestTimeout;
-  return sendAndWait(client, std::move(request));
-}
 
 }  // namespace
 
@@ -109,174 +80,6 @@
   return **found;
 }
 
-void Fleet::writeSettings() {
-  writeFile(path("platform.toml"),
-            "listen = " + tomlString(platform_address_.address()) +
-                "\nlag_ms = " + std::to_string(options_.platform_lag.count() / 1000) + "\n");
-  for (const Control& control : control_) {
-    writeFile(path(control.name + ".toml"),
-              "name = " + tomlString(control.name) +
-                  "\naddress = " + tomlString(control.address.address()) +
-                  "\nadmin_address = " + tomlString(control.admin.address()) + "\ndata_folder = " +
-                  tomlString(path(control.name + "-data")) + "\nplatform_url = " +
-                  tomlString("http://" + platform_address_.address() + "/servers") + "\n");
-  }
-  std::uint64_t number = options_.random_seed * 1000;
-  for (const auto& server : servers_) {
-    writeServerSettings(*server, ++number);
-  }
-}
-
-void Fleet::writeServerSettings(const Server& server, std::uint64_t number) {
-  const ServiceSpec* spec = deployment_.findService(server.service);
-  std::vector<std::string> called;
-  for (const Route& route : spec->routes) {
-    for (const RouteCall& call : route.calls) {
-      if (std::find(called.begin(), called.end(), call.service) == called.end()) {
-        called.push_back(call.service);
-      }
-    }
-  }
-  writeFile(path(server.name + ".toml"),
-            "server = " + tomlString(server.name) + "\nservice = " + tomlString(server.service) +
-                "\nzone = " + tomlString(server.zone) + "\nslots = " + std::to_string(spec->slots) +
-                "\nfront_address = " + tomlString(server.front.address()) +
-                "\npeer_address = " + tomlString(server.peer.address()) +
-                "\negress_address = " + tomlString(server.egress.address()) +
-                "\nadmin_address = " + tomlString(server.daemon_admin.address()) +
-                "\nbackend_address = " + tomlString(server.backend.address()) +
-                "\nbackend_connections = " + std::to_string(spec->connections) + "\ncontrol = " +
-                tomlList(controlAddresses()) + "\nsubscriptions = " + tomlList(called) +
-                "\npolicy = " + tomlString(options_.policy) +
-                "\ndata_folder = " + tomlString(path(server.name + "-data")) + "\n");
-  writeFile(path(server.name + "-backend.toml"),
-            "server = " + tomlString(server.name) + "\nservice = " + tomlString(server.service) +
-                "\ndeployment = " + tomlString(options_.deployment_path) +
-                "\nlisten = " + tomlString(server.backend.address()) +
-                "\nadmin_address = " + tomlString(server.backend_admin.address()) +
-                "\negress_address = " + tomlString(server.egress.address()) +
-                "\nhistory = " + tomlString(path(server.name + ".jsonl")) +
-                "\nrandom_seed = " + std::to_string(number) + "\n");
-}
-
-void Fleet::startServer(Server& server) {
-  server.backend_process = std::make_unique<ChildProcess>(
-      std::vector<std::string>{program("ramppond-backend"), "--config",
-                               path(server.name + "-backend.toml")},
-      path(server.name + "-backend.log"));
-  server.daemon = std::make_unique<ChildProcess>(
-      std::vector<std::string>{program("ramppond-daemon"), "--config", path(server.name + ".toml")},
-      path(server.name + ".log"));
-}
-
-void Fleet::startControl(Control& control) {
-  control.process = std::make_unique<ChildProcess>(
-      std::vector<std::string>{program("ramppond-control"), "--config",
-                               path(control.name + ".toml")},
-      path(control.name + ".log"));
-}
-
-std::optional<std::string> Fleet::start() {
-  writeSettings();
-  platform_ = std::make_unique<ChildProcess>(
-      std::vector<std::string>{program("ramppond-platform"), "--config", path("platform.toml")},
-      path("platform.log"));
-  for (Control& control : control_) {
-    startControl(control);
-  }
-  for (const auto& server : servers_) {
-    startServer(*server);
-  }
-  const std::string platform_url = "http://" + platform_address_.address() + "/servers";
-  if (!waitFor([&] { return get(client_, platform_url).complete; }, kStartTimeout)) {
-    return "the platform did not start";
-  }
-  tellPlatform({});
-  if (auto error = formGroup()) {
-    return error;
-  }
-  if (auto error = confirmConfiguration()) {
-    return error;
-  }
-  if (!waitFor([this] { return allDaemonsReady(); }, kStartTimeout)) {
-    return "not every daemon got the configuration";
-  }
-  return std::nullopt;
-}
-
-std::optional<std::string> Fleet::formGroup() {
-  for (std::size_t index = 0; index < control_.size(); ++index) {
-    const std::string process = "control " + std::to_string(index);
-    if (!waitFor([&] { return metric(process, "control_term").has_value(); }, kStartTimeout)) {
-      return control_[index].name + " did not start";
-    }
-  }
-  std::string output;
-  const std::string first = control_.front().address.address();
-  if (operatorCommand({"--control", first, "bootstrap"}, output) != 0) {
-    return "bootstrap failed: " + output;
-  }
-  for (std::size_t index = 1; index < control_.size(); ++index) {
-    const std::string address = control_[index].address.address();
-    const bool added = waitFor(
-        [&] {
-          return operatorCommand({"--control", first, "member", "add", address}, output) == 0;
-        },
-        kGroupTimeout);
-    if (!added) {
-      return "member add failed: " + output;
-    }
-  }
-  const auto all_vote = [&] {
-    ControlRequest request;
-    request.type = ControlRequestType::kStatus;
-    ControlClient control({first}, kRequestTimeout);
-    const auto reply = control.askMember(first, request);
-    return reply && reply->status.members.size() == control_.size() &&
-           std::all_of(reply->status.members.begin(), reply->status.members.end(),
-                       [](const MemberStatus& member) { return member.member.voter; });
-  };
-  return waitFor(all_vote, kGroupTimeout) ? std::nullopt
-                                          : std::optional<std::string>("learners do not vote");
-}
-
-std::optional<std::string> Fleet::confirmConfiguration() {
-  ControlClient control(controlAddresses(), kGroupTimeout);
-  ControlRequest plan;
-  plan.type = ControlRequestType::kCommand;
-  plan.command.type = CommandType::kPlan;
-  plan.command.operator_request_id = "initial-plan";
-  plan.command.changes = deployment_.initialChanges();
-  const auto planned = control.ask(plan);
-  if (!planned || planned->result.error != ErrorKind::kNone) {
-    return "the first plan failed: " + (planned ? planned->result.reason : control.lastReason());
-  }
-  ControlRequest confirm;
-  confirm.type = ControlRequestType::kCommand;
-  confirm.command.type = CommandType::kConfirm;
-  confirm.command.operator_request_id = "initial-confirm";
-  confirm.command.plan_id = planned->result.plan_id;
-  const auto confirmed = control.ask(confirm);
-  if (!confirmed || confirmed->result.error != ErrorKind::kNone) {
-    return "the first confirm failed";
-  }
-  return std::nullopt;
-}
-
-bool Fleet::allDaemonsReady() {
-  for (std::size_t index = 0; index < control_.size(); ++index) {
-    const auto listed = metric("control " + std::to_string(index), "control_servers_listed");
-    if (listed.value_or(0) < static_cast<double>(servers_.size())) {
-      return false;
-    }
-  }
-  return std::all_of(servers_.begin(), servers_.end(), [this](const auto& server) {
-    const std::string process = "daemon " + server->name;
-    return metric(process, "configuration_index").value_or(0) > 0 &&
-           metric(process, "configuration_stale").value_or(1) == 0;
-  });
-}
-
 std::vector<std::string> Fleet::stop() {
   std::vector<std::string> failed;
   // Daemons first: they finish what is in flight with their back ends' help.
@@ -431,6 +234,14 @@
   return status;
 }
 
+HttpClientResult Fleet::get(const std::string& url) {
+  HttpClientRequest request;
+  request.method = "GET";
+  request.url = url;
+  request.timeout = kRequestTimeout;
+  return sendAndWait(client_, std::move(request));
+}
+
 std::optional<double> Fleet::metric(const std::string& process, const std::string& name) {
   std::string address;
   const auto space = process.find(' ');
@@ -442,7 +253,7 @@
     const Server& target = server(which);
     address = kind == "daemon" ? target.daemon_admin.address() : target.backend_admin.address();
   }
-  const HttpClientResult page = get(client_, "http://" + address + "/metrics");
+  const HttpClientResult page = get("http://" + address + "/metrics");
   return page.complete ? metricIn(page.body, name) : std::nullopt;
 }
 
--- a/lab/fleet.h
+++ b/lab/fleet.h
@@ -96,6 +96,11 @@
     std::unique_ptr<ChildProcess> process;
   };
 
+  static constexpr Duration kStartTimeout = seconds(20);
+  static constexpr Duration kGroupTimeout = seconds(10);
+  static constexpr Duration kRequestTimeout = seconds(2);
+
+  HttpClientResult get(const std::string& url);
   void writeSettings();
   void writeServerSettings(const Server& server, std::uint64_t number);
   void startServer(Server& server);
--- a/lab/fleet_run.cc
+++ b/lab/fleet_run.cc
@@ -1,7 +1,6 @@
 #include "lab/fleet_run.h"
 
 #include <algorithm>
-#include <atomic>
 #include <csignal>
 #include <fstream>
 #include <functional>
@@ -14,59 +13,17 @@
 
 #include "common/command_line.h"
 #include "common/process.h"
+#include "lab/configuration_monitor.h"
 
 namespace ramppond {
 namespace {
 
-constexpr auto kMonitorPause = std::chrono::milliseconds(100);
+constexpr auto kPollPause = std::chrono::milliseconds(100);
 constexpr Duration kProgressInterval = seconds(1);
 constexpr Duration kInForceTimeout = seconds(14);
 constexpr Duration kDrainGrace = seconds(3);
 constexpr Duration kFaultLength = seconds(2);
 
-// Notes every version that a daemon puts in force.
-class ConfigurationMonitor {
- public:
-  explicit ConfigurationMonitor(Fleet& fleet) : fleet_(fleet), thread_([this] { run(); }) {}
-  ~ConfigurationMonitor() { stop(); }
-  ConfigurationMonitor(const ConfigurationMonitor&) = delete;
-  ConfigurationMonitor& operator=(const ConfigurationMonitor&) = delete;
-
-  void stop() {
-    stopping_ = true;
-    if (thread_.joinable()) {
-      thread_.join();
-    }
-  }
-
- private:
-  void run() {
-    std::map<std::string, double> seen;
-    bool last_pass = false;
-    while (!last_pass) {
-      last_pass = stopping_;  // What is in force when it is stopped is still noted.
-      for (const std::string& server : fleet_.serverNames()) {
-        const auto index = fleet_.metric("daemon " + server, "configuration_index");
-        if (!index || *index == seen[server]) {
-          continue;
-        }
-        seen[server] = *index;
-        HistoryEvent event;
-        event.time_us = monotonicNow().count();
-        event.type = HistoryEventType::kConfigurationInForce;
-        event.who = server;
-        event.number = static_cast<std::uint64_t>(*index);
-        fleet_.record(event);
-      }
-      std::this_thread::sleep_for(kMonitorPause);
-    }
-  }
-
-  Fleet& fleet_;
-  std::atomic<bool> stopping_{false};
-  std::thread thread_;
-};
-
 class FleetRun {
  public:
   FleetRun(Fleet& fleet, const FleetRunOptions& options, std::ostream& progress)
@@ -184,7 +141,7 @@
       showProgress(static_cast<double>((now - start).count()) / 1e6);
       next_progress += kProgressInterval;
     }
-    std::this_thread::sleep_for(kMonitorPause);
+    std::this_thread::sleep_for(kPollPause);
   }
   readLoad();
   const double requests = fleet_.daemonTotal("front_requests_total");
@@ -429,32 +386,4 @@
   return run.run();
 }
 
-void printFleetResult(const FleetRunResult& result, std::ostream& output) {
-  output << '\n'
-         << std::left << std::setw(14) << "work" << std::setw(13) << "kind" << std::right
-         << std::setw(9) << "offered" << std::setw(11) << "completed" << std::setw(9) << "refused"
-         << std::setw(8) << "failed" << std::setw(10) << "p50 ms" << std::setw(10) << "p99 ms"
-         << std::setw(7) << "wrong" << '\n';
-  for (const LoadRow& row : result.rows) {
-    output << std::left << std::setw(14) << row.work << std::setw(13) << row.kind << std::right
-           << std::setw(9) << row.offered << std::setw(11) << row.completed << std::setw(9)
-           << row.refused << std::setw(8) << row.failed << std::fixed << std::setprecision(1)
-           << std::setw(10) << row.percentileMs(50) << std::setw(10) << row.percentileMs(100)
-           << std::setw(7) << row.wrong_answers << '\n';
-  }
-  output << "retries per front request: " << std::setprecision(4) << result.retries_per_request
-         << '\n';
-  for (const std::string& note : result.notes) {
-    output << note << '\n';
-  }
-  for (const std::string& name : result.unclean_exits) {
-    output << "unclean: " << name << '\n';
-  }
-  for (const Violation& violation : result.violations) {
-    output << "BROKEN " << violation.promise << " at " << violation.time_us << " us "
-           << violation.nonce << ": " << violation.reason << '\n';
-  }
-  output << "broken promises: " << result.violations.size() << '\n';
-}
-
 }  // namespace ramppond
