--- a/common/metrics.cc
+++ b/common/metrics.cc
@@ -4,7 +4,6 @@
 #include <prometheus/text_serializer.h>
 #include <unistd.h>
 
-#include <cmath>
 #include <fstream>
 #include <sstream>
 
--- a/common/process.h
+++ b/common/process.h
@@ -1,9 +1,7 @@
 // What every long-running program does: wait for a signal to stop, tell the time, draw a seed.
 #pragma once
 
-#include <atomic>
 #include <cstdint>
-#include <functional>
 
 #include "common/clock.h"
 
--- a/control/control_process.cc
+++ b/control/control_process.cc
@@ -78,7 +78,7 @@
   void onHttp(HttpToken token, const HttpRequest& request);
   void queueRaft(const RaftMessage& message);
   void flushLink(const std::string& address);
-  void askPlatform(TimePoint now);
+  void askPlatform();
   void sendMemberRequest(const MemberRequest& request);
   void reportChanges();
   MetricsPage metrics();
@@ -256,7 +256,7 @@
   reportChanges();
   if (now >= next_platform_ && !settings_.platform_url.empty()) {
     next_platform_ = now + kPlatformInterval;
-    askPlatform(now);
+    askPlatform();
   }
 }
 
@@ -315,7 +315,7 @@
                      });
 }
 
-void ControlProcess::Impl::askPlatform(TimePoint /*now*/) {
+void ControlProcess::Impl::askPlatform() {
   HttpClientRequest request;
   request.method = "GET";
   request.url = settings_.platform_url;
--- a/core/call_port/admission_cut.h
+++ b/core/call_port/admission_cut.h
@@ -7,7 +7,6 @@
 
 #include <cstdint>
 #include <map>
-#include <set>
 
 #include "core/call_model/priority.h"
 #include "core/time.h"
--- a/core/call_port/call_scope.h
+++ b/core/call_port/call_scope.h
@@ -3,7 +3,6 @@
 
 #include <algorithm>
 #include <cstdint>
-#include <memory>
 #include <set>
 #include <utility>
 
--- a/core/call_port/control_session.cc
+++ b/core/call_port/control_session.cc
@@ -75,17 +75,17 @@
     poll_id_ = next_request_id_;
     // After a failure the first question is what was missed, not what comes next.
     const bool wait_for_news = confirmed_ && !session_dirty_ && failures_ == 0;
-    sendPoll(now, wait_for_news ? options_.hold : Duration(0), actions);
+    sendPoll(wait_for_news ? options_.hold : Duration(0), actions);
   } else if (session_dirty_ && poll_id_ != 0 && superseded_.size() < kMaximumSuperseded) {
     // The member holds a poll that does not say this yet: a new one takes its place.
     superseded_.insert(poll_id_);
     poll_id_ = next_request_id_;
-    sendPoll(now, confirmed_ ? options_.hold : Duration(0), actions);
+    sendPoll(confirmed_ ? options_.hold : Duration(0), actions);
   }
   sendClaims(now, actions);
 }
 
-void ControlSession::sendPoll(TimePoint /*now*/, Duration hold, DaemonActions& actions) {
+void ControlSession::sendPoll(Duration hold, DaemonActions& actions) {
   counters_.polls += 1;
   session_dirty_ = false;
   SendToControl send;
--- a/core/call_port/control_session.h
+++ b/core/call_port/control_session.h
@@ -84,7 +84,7 @@
     std::vector<QueuedClaim> claims;
   };
 
-  void sendPoll(TimePoint now, Duration hold, DaemonActions& actions);
+  void sendPoll(Duration hold, DaemonActions& actions);
   void sendClaims(TimePoint now, DaemonActions& actions);
   void onPollReply(const std::optional<ControlReply>& reply, TimePoint now, DaemonActions& actions);
   void onBatchReply(const Batch& batch, const std::optional<ControlReply>& reply, TimePoint now);
--- a/core/call_port/inbound_calls.cc
+++ b/core/call_port/inbound_calls.cc
@@ -32,24 +32,24 @@
 
 void InboundCalls::onRequest(const CallRequest& request, TimePoint now, DaemonActions& actions) {
   if (request.receiver_incarnation != options_.incarnation) {
-    refuse(request, ErrorKind::kServerRestarted, now, actions);
+    refuse(request, ErrorKind::kServerRestarted, actions);
     return;
   }
   counters_.received += 1;
   const bool copy = !seen_.firstTime(request.id, now);
   if (copy && (options_.policy.refuse_copies || calls_.count(request.id) != 0)) {
     counters_.duplicates += 1;
-    refuse(request, ErrorKind::kDuplicateCall, now, actions);
+    refuse(request, ErrorKind::kDuplicateCall, actions);
     return;
   }
   if (draining_ && options_.policy.refuse_when_draining) {
     counters_.refused_draining += 1;
-    refuse(request, ErrorKind::kDraining, now, actions);
+    refuse(request, ErrorKind::kDraining, actions);
     return;
   }
   if (request.context.time_left <= Duration(0)) {
     counters_.refused_deadline += 1;
-    refuse(request, ErrorKind::kDeadlineExceeded, now, actions);
+    refuse(request, ErrorKind::kDeadlineExceeded, actions);
     return;
   }
   cut_.onArrival(request.context.level, now);
@@ -60,7 +60,7 @@
   queue_.push(request.id, queueLevel(request.context), now);
   pump(now, actions);
   if (options_.policy.bounded_queue && queue_.size() > queueBound()) {
-    refuseQueued(*queue_.popWorst(), ErrorKind::kOverloaded, now, actions);
+    refuseQueued(*queue_.popWorst(), ErrorKind::kOverloaded, actions);
   }
 }
 
@@ -90,7 +90,7 @@
     const double needed = options_.policy.drop_expired ? service_time_us_ * kMinimumTimeShare : 0;
     if (options_.policy.drop_expired && static_cast<double>(left.count()) <= needed) {
       counters_.refused_deadline += 1;
-      refuseQueued(*next, ErrorKind::kDeadlineExceeded, now, actions);
+      refuseQueued(*next, ErrorKind::kDeadlineExceeded, actions);
       continue;
     }
     start(call, now, actions);
@@ -171,7 +171,7 @@
     answer.body = reply.body;
     answer.body_checksum = bodyChecksum(answer.body);
   }
-  finish(position, std::move(answer), now, actions);
+  finish(position, std::move(answer), actions);
   pump(now, actions);
 }
 
@@ -204,10 +204,10 @@
     answer.body = backend_answer.body;
     answer.body_checksum = bodyChecksum(answer.body);
   }
-  complete(call, answer, now);
+  complete(call, answer);
   in_flight_.erase(id);
   counters_.answered += 1;
-  finish(position, std::move(answer), now, actions);
+  finish(position, std::move(answer), actions);
   pump(now, actions);
 }
 
@@ -219,14 +219,14 @@
   }
   const ErrorKind kind = never_sent ? ErrorKind::kBackendUnreachable : ErrorKind::kBackendLost;
   CallAnswer answer = errorCallAnswer(id, kind);
-  complete(position->second, answer, now);
+  complete(position->second, answer);
   in_flight_.erase(id);
-  finish(position, std::move(answer), now, actions);
+  finish(position, std::move(answer), actions);
   pump(now, actions);
 }
 
 // Tells the control group how a claimed call went.
-void InboundCalls::complete(Call& call, CallAnswer& answer, TimePoint /*now*/) {
+void InboundCalls::complete(Call& call, CallAnswer& answer) {
   if (!needsClaim(call)) {
     return;
   }
@@ -234,8 +234,7 @@
   claimAction(never_ran ? CommandType::kReleaseClaim : CommandType::kCompleteClaim, call, &answer);
 }
 
-void InboundCalls::finish(CallMap::iterator position, CallAnswer answer, TimePoint now,
-                          DaemonActions& actions) {
+void InboundCalls::finish(CallMap::iterator position, CallAnswer answer, DaemonActions& actions) {
   Call& call = position->second;
   const std::set<std::uint64_t>& calls = call.scope->calls();
   orphans_.insert(orphans_.end(), calls.begin(), calls.end());
@@ -247,7 +246,6 @@
     actions.emplace_back(AnswerPeer{std::move(answer)});
   }
   calls_.erase(position);
-  static_cast<void>(now);
 }
 
 void InboundCalls::stamp(CallAnswer& answer) const {
@@ -259,8 +257,7 @@
       static_cast<std::uint32_t>(held * 1000 / std::max<std::size_t>(1, limiter_->limit()));
 }
 
-void InboundCalls::refuse(const CallRequest& request, ErrorKind kind, TimePoint /*now*/,
-                          DaemonActions& actions) {
+void InboundCalls::refuse(const CallRequest& request, ErrorKind kind, DaemonActions& actions) {
   CallAnswer answer = errorCallAnswer(request.id, kind);
   answer.retries_returned = request.context.retry_allowance;
   answer.retry_after = errorAnswer(kind).retry_after ? retryAfter() : Duration(0);
@@ -268,15 +265,14 @@
   actions.emplace_back(AnswerPeer{std::move(answer)});
 }
 
-void InboundCalls::refuseQueued(const CallId& id, ErrorKind kind, TimePoint now,
-                                DaemonActions& actions) {
+void InboundCalls::refuseQueued(const CallId& id, ErrorKind kind, DaemonActions& actions) {
   if (kind == ErrorKind::kOverloaded) {
     counters_.refused_overload += 1;
     cut_.onOverloadRefusal();
   }
   CallAnswer answer = errorCallAnswer(id, kind);
   answer.retry_after = retryAfter();
-  finish(calls_.find(id), std::move(answer), now, actions);
+  finish(calls_.find(id), std::move(answer), actions);
 }
 
 // Time in which the queue drains, stretched by the share that is being refused, with jitter so
@@ -314,7 +310,7 @@
   if (call.state == State::kDispatched) {
     actions.emplace_back(CancelBackend{id});
   }
-  finish(position, errorCallAnswer(id, ErrorKind::kCancelled), now, actions);
+  finish(position, errorCallAnswer(id, ErrorKind::kCancelled), actions);
   pump(now, actions);
 }
 
@@ -326,7 +322,7 @@
   next_expiry_ = now + kExpiryInterval;
   if (options_.policy.bounded_queue) {
     for (const CallId& id : queue_.removeArrivedBefore(now - options_.policy.maximum_queue_wait)) {
-      refuseQueued(id, ErrorKind::kOverloaded, now, actions);
+      refuseQueued(id, ErrorKind::kOverloaded, actions);
     }
   }
   expire(now, actions);
@@ -358,7 +354,7 @@
     in_flight_.erase(id);
     CallAnswer answer = errorCallAnswer(id, ErrorKind::kNoQuorum);
     answer.retry_after = retryAfter();
-    finish(position, std::move(answer), now, actions);
+    finish(position, std::move(answer), actions);
   }
   for (const CallId& id : calls_due) {
     actions.emplace_back(CancelBackend{id});
--- a/core/call_port/inbound_calls.h
+++ b/core/call_port/inbound_calls.h
@@ -1,7 +1,6 @@
 // The calls that this daemon's own back end is to run: admission, queue, claim, dispatch, answer.
 #pragma once
 
-#include <map>
 #include <memory>
 #include <set>
 #include <string>
@@ -104,13 +103,13 @@
   };
   using CallMap = std::unordered_map<CallId, Call, CallIdHash>;
 
-  void refuse(const CallRequest& request, ErrorKind kind, TimePoint now, DaemonActions& actions);
-  void finish(CallMap::iterator position, CallAnswer answer, TimePoint now, DaemonActions& actions);
-  void refuseQueued(const CallId& id, ErrorKind kind, TimePoint now, DaemonActions& actions);
+  void refuse(const CallRequest& request, ErrorKind kind, DaemonActions& actions);
+  void finish(CallMap::iterator position, CallAnswer answer, DaemonActions& actions);
+  void refuseQueued(const CallId& id, ErrorKind kind, DaemonActions& actions);
   void pump(TimePoint now, DaemonActions& actions);
   void start(Call& call, TimePoint now, DaemonActions& actions);
   void dispatch(Call& call, TimePoint now, DaemonActions& actions);
-  void complete(Call& call, CallAnswer& answer, TimePoint now);
+  void complete(Call& call, CallAnswer& answer);
   void expire(TimePoint now, DaemonActions& actions);
   void claimAction(CommandType type, const Call& call, const CallAnswer* answer);
   void stamp(CallAnswer& answer) const;
--- a/core/control/control_core.cc
+++ b/core/control/control_core.cc
@@ -1,7 +1,5 @@
 #include "core/control/control_core.h"
 
-#include <algorithm>
-
 #include "core/cbor_codec.h"
 
 namespace ramppond {
@@ -232,7 +230,7 @@
   answerHeldProxyPolls(now);
   if (now >= next_pull_) {
     next_pull_ = now + options_.session_pull_interval;
-    pullSessions(now);
+    pullSessions();
   }
 }
 
@@ -247,7 +245,7 @@
 }
 
 // Learns the sessions that other members hold: each is asked what changed since the last time.
-void ControlCore::pullSessions(TimePoint /*now*/) {
+void ControlCore::pullSessions() {
   session_pulls_.clear();
   for (const Member& member : raft_.membership().members) {
     if (member.id == raft_.id()) {
--- a/core/control/control_core.h
+++ b/core/control/control_core.h
@@ -172,7 +172,7 @@
   void addConfiguration(ConfigurationVersion have, ControlReply& reply);
   const std::string& encodedConfiguration();
   void failPendingIfNotLeader();
-  void pullSessions(TimePoint now);
+  void pullSessions();
   void answer(ControlToken token, ControlReply reply);
   void answerError(ControlToken token, ErrorKind kind, const std::string& reason);
   [[nodiscard]] std::string leaderAddress() const;
--- a/daemon/daemon_process.cc
+++ b/daemon/daemon_process.cc
@@ -1,7 +1,6 @@
 #include "daemon/daemon_process.h"
 
 #include <atomic>
-#include <condition_variable>
 #include <mutex>
 #include <thread>
 #include <unordered_map>
--- a/lab/backend_process.cc
+++ b/lab/backend_process.cc
@@ -1,9 +1,7 @@
 #include "lab/backend_process.h"
 
-#include <atomic>
 #include <cmath>
 #include <cstdlib>
-#include <deque>
 #include <map>
 #include <mutex>
 #include <thread>
--- a/lab/fleet.h
+++ b/lab/fleet.h
@@ -2,7 +2,6 @@
 #pragma once
 
 #include <functional>
-#include <map>
 #include <memory>
 #include <optional>
 #include <string>
--- a/lab/fleet_run.cc
+++ b/lab/fleet_run.cc
@@ -8,7 +8,6 @@
 #include <map>
 #include <nlohmann/json.hpp>
 #include <ostream>
-#include <sstream>
 #include <thread>
 
 #include "common/command_line.h"
--- a/lab/load_generator.h
+++ b/lab/load_generator.h
@@ -2,8 +2,6 @@
 #pragma once
 
 #include <cstdint>
-#include <map>
-#include <memory>
 #include <optional>
 #include <string>
 #include <vector>
--- a/lab/load_main.cc
+++ b/lab/load_main.cc
@@ -1,6 +1,5 @@
 // ramppond-load: callers for the test rig.
 #include <cstdlib>
-#include <fstream>
 #include <iostream>
 
 #include "common/process.h"
--- a/lab/register_checker.cc
+++ b/lab/register_checker.cc
@@ -1,7 +1,5 @@
 #include "lab/register_checker.h"
 
-#include <algorithm>
-
 namespace ramppond {
 namespace {
 
--- a/lab/simulation/event_queue.h
+++ b/lab/simulation/event_queue.h
@@ -4,7 +4,6 @@
 #include <cstdint>
 #include <functional>
 #include <queue>
-#include <vector>
 
 #include "core/time.h"
 
--- a/lab/simulation/network.cc
+++ b/lab/simulation/network.cc
@@ -1,7 +1,5 @@
 #include "lab/simulation/network.h"
 
-#include <algorithm>
-
 namespace ramppond {
 namespace {
 
--- a/lab/simulation/simulated_backend.h
+++ b/lab/simulation/simulated_backend.h
@@ -3,7 +3,6 @@
 
 #include <functional>
 #include <map>
-#include <memory>
 #include <string>
 
 #include "core/call_port/daemon_actions.h"
--- a/lab/simulation/simulated_callers.cc
+++ b/lab/simulation/simulated_callers.cc
@@ -1,7 +1,5 @@
 #include "lab/simulation/simulated_callers.h"
 
-#include <algorithm>
-
 namespace ramppond {
 namespace {
 
--- a/lab/simulation/simulated_callers.h
+++ b/lab/simulation/simulated_callers.h
@@ -2,7 +2,6 @@
 #pragma once
 
 #include <cstdint>
-#include <functional>
 #include <memory>
 #include <string>
 #include <vector>
--- a/lab/simulation/simulated_daemon.cc
+++ b/lab/simulation/simulated_daemon.cc
@@ -1,7 +1,5 @@
 #include "lab/simulation/simulated_daemon.h"
 
-#include <algorithm>
-
 #include "lab/simulation/simulated_control.h"
 
 namespace ramppond {
--- a/net/http_server.cc
+++ b/net/http_server.cc
@@ -5,9 +5,7 @@
 #include <pistache/peer.h>
 #include <strings.h>
 
-#include <atomic>
 #include <deque>
-#include <map>
 #include <mutex>
 #include <unordered_map>
 
--- a/storage/file_system.h
+++ b/storage/file_system.h
@@ -3,7 +3,6 @@
 #pragma once
 
 #include <map>
-#include <memory>
 #include <optional>
 #include <string>
 
--- a/storage/raft_storage.cc
+++ b/storage/raft_storage.cc
@@ -2,8 +2,6 @@
 
 #include <xxhash.h>
 
-#include <algorithm>
-
 #include "core/cbor_codec.h"
 
 namespace ramppond {
