--- a/cli/command_context.h
+++ b/cli/command_context.h
@@ -32,7 +32,8 @@
 
 /// Sends a request that has nothing but its type; nothing if no leader was reached.
 std::optional<ControlReply> askFor(CommandContext& context, ControlRequestType type);
-/// Sends a command under one request id, so that a resend after a lost answer changes nothing twice.
+/// Sends a command under one request id, so that a resend after a lost answer changes nothing
+/// twice.
 std::optional<ControlReply> sendCommand(CommandContext& context, Command command);
 
 }  // namespace ramppond
--- a/cli/configuration_commands.cc
+++ b/cli/configuration_commands.cc
@@ -134,7 +134,6 @@
   return makePlan(context, {change});
 }
 
-
 ExitCode closePlan(CommandContext& context, CommandType type) {
   const auto id = parseUnsigned(context.operand(1));
   if (!id) {
@@ -273,7 +272,6 @@
   return makePlan(context, {change});
 }
 
-
 ExitCode serverCommand(CommandContext& context, ChangeType type) {
   if (context.operand(1).empty()) {
     return usageError(context, context.operand(0) + ": expected a server name");
--- a/cli/member_commands.cc
+++ b/cli/member_commands.cc
@@ -142,7 +142,6 @@
   return finishMemberChange(context, context.client.ask(request), context.operand(2) + " removed");
 }
 
-
 ExitCode bootstrapCommand(CommandContext& context) {
   ControlRequest request;
   request.type = ControlRequestType::kBootstrap;
--- a/control/control_metrics.cc
+++ b/control/control_metrics.cc
@@ -2,7 +2,8 @@
 
 namespace ramppond {
 
-MetricsPage controlMetrics(const ControlCore& core, const RaftStorage& storage, std::uint64_t polls_refused, TimePoint now) {
+MetricsPage controlMetrics(const ControlCore& core, const RaftStorage& storage,
+                           std::uint64_t polls_refused, TimePoint now) {
   MetricsPage page;
   const ControlStatus status = core.status(now);
   const ControlCounters& counters = core.counters();
@@ -13,8 +14,7 @@
     const bool leads = core.raft().role() == RaftRole::kLeader;
     silent += leads && !self && (!member.heard || member.silent_ms > kSilentMs) ? 1 : 0;
   }
-  page.gauge("control_leader", "1 on the leader.",
-             core.raft().role() == RaftRole::kLeader ? 1 : 0);
+  page.gauge("control_leader", "1 on the leader.", core.raft().role() == RaftRole::kLeader ? 1 : 0);
   page.gauge("control_authoritative", "0 while no leader is heard.",
              core.authoritative(now) ? 1 : 0);
   page.gauge("control_term", "Raft term.", static_cast<double>(status.term));
@@ -30,8 +30,7 @@
   page.gauge("control_sessions", "Daemons known.", static_cast<double>(status.sessions));
   page.gauge("control_claims", "At-most-once claims remembered.",
              static_cast<double>(status.claims));
-  page.gauge("control_log_bytes", "Size of the log file.",
-             static_cast<double>(storage.logBytes()));
+  page.gauge("control_log_bytes", "Size of the log file.", static_cast<double>(storage.logBytes()));
   page.gauge("control_snapshot_bytes", "Size of the snapshot file.",
              static_cast<double>(storage.snapshotBytes()));
   page.counter("control_log_syncs_total", "Syncs of the log.", storage.syncs());
--- a/daemon/daemon_metrics.cc
+++ b/daemon/daemon_metrics.cc
@@ -40,8 +40,7 @@
   page.counter("configurations_taken_total", "Newer configurations.", session.configurations_taken);
   page.counter("configurations_refused_total", "Older configurations, refused.",
                session.configurations_refused);
-  page.gauge("in_flight", "Calls at the back end.",
-             static_cast<double>(core.inbound().inFlight()));
+  page.gauge("in_flight", "Calls at the back end.", static_cast<double>(core.inbound().inFlight()));
   page.gauge("queued", "Calls waiting for a slot.", static_cast<double>(core.inbound().queued()));
   page.gauge("concurrency_limit", "Slots used at the most.", core.inbound().concurrencyLimit());
   page.gauge("admission_cut", "Levels above this are refused.", core.inbound().cut());
