--- a/lab/deployment.h
+++ b/lab/deployment.h
@@ -7,6 +7,7 @@
 #include <vector>
 
 #include "core/call_model/planning.h"
+#include "core/random.h"
 #include "core/time.h"
 
 namespace ramppond {
@@ -79,6 +80,23 @@
   [[nodiscard]] std::vector<ConfigurationChange> initialChanges() const;
 };
 
+/// One of `items`, drawn by its `share_of(item)` of them all; nullptr if there are none.
+template <class Item, class ShareOf>
+const Item* drawByShare(const std::vector<Item>& items, Random& random, ShareOf share_of) {
+  double total = 0;
+  for (const Item& item : items) {
+    total += share_of(item);
+  }
+  double point = random.uniform() * total;
+  for (const Item& item : items) {
+    point -= share_of(item);
+    if (point < 0) {
+      return &item;
+    }
+  }
+  return items.empty() ? nullptr : &items.back();
+}
+
 /// Reads `path`. On an error gives nothing and sets `error`.
 std::optional<Deployment> readDeployment(const std::string& path, std::string& error);
 
--- a/lab/load_generator.cc
+++ b/lab/load_generator.cc
@@ -76,22 +76,10 @@
 };
 
 const WorkSpec* LoadRun::chooseWork() {
-  double total = 0;
-  const auto share = [this](const WorkSpec& work) {
+  return drawByShare(deployment_.works, random_, [this](const WorkSpec& work) {
     const bool excluded = !options_.only_work.empty() && work.type.name != options_.only_work;
     return excluded ? 0.0 : work.share;
-  };
-  for (const WorkSpec& work : deployment_.works) {
-    total += share(work);
-  }
-  double point = random_.uniform() * total;
-  for (const WorkSpec& work : deployment_.works) {
-    point -= share(work);
-    if (point < 0) {
-      return &work;
-    }
-  }
-  return &deployment_.works.back();
+  });
 }
 
 std::string LoadRun::chooseCallerKey() {
--- a/lab/simulation/simulated_callers.cc
+++ b/lab/simulation/simulated_callers.cc
@@ -32,35 +32,13 @@
 }
 
 const WorkSpec& SimulatedCallers::chooseWork() {
-  const auto& works = world_.deployment.works;
-  double total = 0;
-  for (const WorkSpec& work : works) {
-    total += work.share;
-  }
-  double point = world_.random.uniform() * total;
-  for (const WorkSpec& work : works) {
-    point -= work.share;
-    if (point < 0) {
-      return work;
-    }
-  }
-  return works.back();
+  return *drawByShare(world_.deployment.works, world_.random,
+                      [](const WorkSpec& work) { return work.share; });
 }
 
 const ClassSpec* SimulatedCallers::chooseClass() {
-  const auto& classes = world_.deployment.classes;
-  double total = 0;
-  for (const ClassSpec& spec : classes) {
-    total += spec.share;
-  }
-  double point = world_.random.uniform() * total;
-  for (const ClassSpec& spec : classes) {
-    point -= spec.share;
-    if (point < 0) {
-      return &spec;
-    }
-  }
-  return classes.empty() ? nullptr : &classes.back();
+  return drawByShare(world_.deployment.classes, world_.random,
+                     [](const ClassSpec& spec) { return spec.share; });
 }
 
 void SimulatedCallers::offer(const WorkSpec& work, const ClassSpec* caller_class) {
