--- a/common/process.h
+++ b/common/process.h
@@ -1,9 +1,7 @@
 // What every long-running program does: wait for a signal to stop, tell the time, draw a seed.
 #pragma once
 
-#include <atomic>
 #include <cstdint>
-#include <functional>
 
 #include "common/clock.h"
 
@@ -18,8 +16,6 @@
 void blockStopSignals();
 /// Waits until one of them arrives.
 void waitForStopSignal();
-/// The same, but not longer than `timeout`.
-void waitForStopSignal(Duration timeout);
 /// Sets the allowed number of open files to the hard limit.
 void raiseFileLimit();
 
--- a/lab/deployment.h
+++ b/lab/deployment.h
@@ -7,6 +7,7 @@
 #include <vector>
 
 #include "core/call_model/planning.h"
+#include "core/random.h"
 #include "core/time.h"
 
 namespace ramppond {
@@ -68,17 +69,34 @@
   [[nodiscard]] const std::string& zoneOf(std::uint32_t index) const {
     return zones[index % zones.size()];
   }
-  /// Calls of one front request, counting the first: the size of its tree.
-  [[nodiscard]] std::uint32_t treeSize(const std::string& service, const std::string& path) const;
   /// Slot time in ms that one request of a route takes on each service, in order of `services`.
   [[nodiscard]] std::vector<double> slotMs(const std::string& service,
                                            const std::string& path) const;
   /// Front requests per second, in the given mix, that use up the first service to run out.
   [[nodiscard]] double capacityPerSecond() const;
+  /// The service that others call most: deep in every chain.
+  [[nodiscard]] std::string mostCalledService() const;
   /// The changes that make the first configuration.
   [[nodiscard]] std::vector<ConfigurationChange> initialChanges() const;
 };
 
+/// One of `items`, drawn by its `share_of(item)` of them all; nullptr if there are none.
+template <class Item, class ShareOf>
+const Item* drawByShare(const std::vector<Item>& items, Random& random, ShareOf share_of) {
+  double total = 0;
+  for (const Item& item : items) {
+    total += share_of(item);
+  }
+  double point = random.uniform() * total;
+  for (const Item& item : items) {
+    point -= share_of(item);
+    if (point < 0) {
+      return &item;
+    }
+  }
+  return items.empty() ? nullptr : &items.back();
+}
+
 /// Reads `path`. On an error gives nothing and sets `error`.
 std::optional<Deployment> readDeployment(const std::string& path, std::string& error);
 
--- a/lab/fleet.h
+++ b/lab/fleet.h
@@ -2,7 +2,6 @@
 #pragma once
 
 #include <functional>
-#include <map>
 #include <memory>
 #include <optional>
 #include <string>
@@ -42,7 +41,6 @@
   [[nodiscard]] std::vector<std::string> controlAddresses() const;
   [[nodiscard]] std::vector<std::string> serverNames() const;
   [[nodiscard]] std::size_t controlCount() const { return control_.size(); }
-  [[nodiscard]] pid_t controlPid(std::size_t index) const { return control_[index].process->pid(); }
   /// The control member that leads, by what the group says; nothing if there is none.
   std::optional<std::size_t> leader();
 
@@ -79,6 +77,8 @@
     return options_.program_folder + "/" + name;
   }
   void record(const HistoryEvent& event) { rig_history_.record(event); }
+  /// Something that happens to `who` now.
+  void record(HistoryEventType type, const std::string& who);
 
  private:
   struct Server {
@@ -95,6 +95,11 @@
     std::unique_ptr<ChildProcess> process;
   };
 
+  static constexpr Duration kStartTimeout = seconds(20);
+  static constexpr Duration kGroupTimeout = seconds(10);
+  static constexpr Duration kRequestTimeout = seconds(2);
+
+  HttpClientResult get(const std::string& url);
   void writeSettings();
   void writeServerSettings(const Server& server, std::uint64_t number);
   void startServer(Server& server);
--- a/lab/fleet_run.cc
+++ b/lab/fleet_run.cc
@@ -1,7 +1,6 @@
 #include "lab/fleet_run.h"
 
 #include <algorithm>
-#include <atomic>
 #include <csignal>
 #include <fstream>
 #include <functional>
@@ -9,63 +8,20 @@
 #include <map>
 #include <nlohmann/json.hpp>
 #include <ostream>
-#include <sstream>
 #include <thread>
 
+#include "common/command_line.h"
 #include "common/process.h"
+#include "lab/configuration_monitor.h"
 
 namespace ramppond {
 namespace {
 
-constexpr auto kMonitorPause = std::chrono::milliseconds(100);
+constexpr auto kPollPause = std::chrono::milliseconds(100);
 constexpr Duration kProgressInterval = seconds(1);
 constexpr Duration kInForceTimeout = seconds(14);
 constexpr Duration kDrainGrace = seconds(3);
 constexpr Duration kFaultLength = seconds(2);
-constexpr Duration kRecoveryTimeout = seconds(20);
-
-// Notes every version that a daemon puts in force.
-class ConfigurationMonitor {
- public:
-  explicit ConfigurationMonitor(Fleet& fleet) : fleet_(fleet), thread_([this] { run(); }) {}
-  ~ConfigurationMonitor() { stop(); }
-  ConfigurationMonitor(const ConfigurationMonitor&) = delete;
-  ConfigurationMonitor& operator=(const ConfigurationMonitor&) = delete;
-
-  void stop() {
-    stopping_ = true;
-    if (thread_.joinable()) {
-      thread_.join();
-    }
-  }
-
- private:
-  void run() {
-    std::map<std::string, double> seen;
-    bool last_pass = false;
-    while (!last_pass) {
-      last_pass = stopping_;  // What is in force when it is stopped is still noted.
-      for (const std::string& server : fleet_.serverNames()) {
-        const auto index = fleet_.metric("daemon " + server, "configuration_index");
-        if (!index || *index == seen[server]) {
-          continue;
-        }
-        seen[server] = *index;
-        HistoryEvent event;
-        event.time_us = monotonicNow().count();
-        event.type = HistoryEventType::kConfigurationInForce;
-        event.who = server;
-        event.number = static_cast<std::uint64_t>(*index);
-        fleet_.record(event);
-      }
-      std::this_thread::sleep_for(kMonitorPause);
-    }
-  }
-
-  Fleet& fleet_;
-  std::atomic<bool> stopping_{false};
-  std::thread thread_;
-};
 
 class FleetRun {
  public:
@@ -109,19 +65,15 @@
 };
 
 std::unique_ptr<ChildProcess> FleetRun::startLoad() {
-  std::string targets;
-  for (const std::string& address : fleet_.frontAddresses()) {
-    targets += (targets.empty() ? "" : ",") + address;
-  }
   static const std::map<ClientRetry, std::string> kRetryNames = {
       {ClientRetry::kNone, "none"}, {ClientRetry::kObey, "obey"}, {ClientRetry::kHard, "hard"}};
   const double duration = static_cast<double>(options_.duration.count()) / 1e6;
   return std::make_unique<ChildProcess>(
       std::vector<std::string>{
           fleet_.program("ramppond-load"), "--config", fleet_.folder() + "/deployment.toml",
-          "--target", targets, "--rate", std::to_string(options_.rate), "--duration",
-          std::to_string(duration), "--retry", kRetryNames.at(options_.retry), "--history",
-          fleet_.callerHistoryPath(), "--seed", std::to_string(options_.random_seed)},
+          "--target", joinList(fleet_.frontAddresses()), "--rate", std::to_string(options_.rate),
+          "--duration", std::to_string(duration), "--retry", kRetryNames.at(options_.retry),
+          "--history", fleet_.callerHistoryPath(), "--seed", std::to_string(options_.random_seed)},
       fleet_.folder() + "/load.json");
 }
 
@@ -188,7 +140,7 @@
       showProgress(static_cast<double>((now - start).count()) / 1e6);
       next_progress += kProgressInterval;
     }
-    std::this_thread::sleep_for(kMonitorPause);
+    std::this_thread::sleep_for(kPollPause);
   }
   readLoad();
   const double requests = fleet_.daemonTotal("front_requests_total");
@@ -279,19 +231,7 @@
 }
 
 std::string FleetRun::victim() const {
-  std::map<std::string, int> called;
-  for (const ServiceSpec& service : fleet_.deployment().services) {
-    for (const Route& route : service.routes) {
-      for (const RouteCall& call : route.calls) {
-        called[call.service] += 1;
-      }
-    }
-  }
-  std::string most = fleet_.deployment().services.front().name;
-  for (const auto& [service, count] : called) {
-    most = count > called[most] ? service : most;
-  }
-  return most + "-1";
+  return fleet_.deployment().mostCalledService() + "-1";
 }
 
 std::size_t FleetRun::follower() {
@@ -322,11 +262,7 @@
   if (!clean) {
     result_.unclean_exits.push_back(server);
   }
-  HistoryEvent event;
-  event.time_us = monotonicNow().count();
-  event.type = HistoryEventType::kBackendStopped;
-  event.who = server;
-  fleet_.record(event);
+  fleet_.record(HistoryEventType::kBackendStopped, server);
   fleet_.restartServer(server);
   fleet_.tellPlatform({});
   return "stopped " + server + " as planned and restarted it";
@@ -338,15 +274,9 @@
   if (!planAndConfirm({"drain", server}, version)) {
     return "drain failed";
   }
-  HistoryEvent event;
-  event.time_us = monotonicNow().count();
-  event.type = HistoryEventType::kBackendDraining;
-  event.who = server;
-  fleet_.record(event);
+  fleet_.record(HistoryEventType::kBackendDraining, server);
   std::this_thread::sleep_for(kDrainGrace + kFaultLength);
-  event.time_us = monotonicNow().count();
-  event.type = HistoryEventType::kBackendStopped;  // The end of its leaving: it comes back.
-  fleet_.record(event);
+  fleet_.record(HistoryEventType::kBackendStopped, server);  // It is asked back.
   if (!planAndConfirm({"restore", server}, version)) {
     return "restore failed";
   }
@@ -455,32 +385,4 @@
   return run.run();
 }
 
-void printFleetResult(const FleetRunResult& result, std::ostream& output) {
-  output << '\n'
-         << std::left << std::setw(14) << "work" << std::setw(13) << "kind" << std::right
-         << std::setw(9) << "offered" << std::setw(11) << "completed" << std::setw(9) << "refused"
-         << std::setw(8) << "failed" << std::setw(10) << "p50 ms" << std::setw(10) << "p99 ms"
-         << std::setw(7) << "wrong" << '\n';
-  for (const LoadRow& row : result.rows) {
-    output << std::left << std::setw(14) << row.work << std::setw(13) << row.kind << std::right
-           << std::setw(9) << row.offered << std::setw(11) << row.completed << std::setw(9)
-           << row.refused << std::setw(8) << row.failed << std::fixed << std::setprecision(1)
-           << std::setw(10) << row.percentileMs(50) << std::setw(10) << row.percentileMs(100)
-           << std::setw(7) << row.wrong_answers << '\n';
-  }
-  output << "retries per front request: " << std::setprecision(4) << result.retries_per_request
-         << '\n';
-  for (const std::string& note : result.notes) {
-    output << note << '\n';
-  }
-  for (const std::string& name : result.unclean_exits) {
-    output << "unclean: " << name << '\n';
-  }
-  for (const Violation& violation : result.violations) {
-    output << "BROKEN " << violation.promise << " at " << violation.time_us << " us "
-           << violation.nonce << ": " << violation.reason << '\n';
-  }
-  output << "broken promises: " << result.violations.size() << '\n';
-}
-
 }  // namespace ramppond
--- a/lab/simulation/simulated_backend.h
+++ b/lab/simulation/simulated_backend.h
@@ -3,7 +3,6 @@
 
 #include <functional>
 #include <map>
-#include <memory>
 #include <string>
 
 #include "core/call_port/daemon_actions.h"
@@ -42,7 +41,6 @@
     const Route* route = nullptr;
     WorkBody body;
     std::string handle;
-    TimePoint started{0};
     std::size_t next_call = 0;
     std::size_t open_calls = 0;
     bool failed = false;
--- a/lab/simulation/simulated_callers.cc
+++ b/lab/simulation/simulated_callers.cc
@@ -1,7 +1,5 @@
 #include "lab/simulation/simulated_callers.h"
 
-#include <algorithm>
-
 namespace ramppond {
 namespace {
 
@@ -34,35 +32,13 @@
 }
 
 const WorkSpec& SimulatedCallers::chooseWork() {
-  const auto& works = world_.deployment.works;
-  double total = 0;
-  for (const WorkSpec& work : works) {
-    total += work.share;
-  }
-  double point = world_.random.uniform() * total;
-  for (const WorkSpec& work : works) {
-    point -= work.share;
-    if (point < 0) {
-      return work;
-    }
-  }
-  return works.back();
+  return *drawByShare(world_.deployment.works, world_.random,
+                      [](const WorkSpec& work) { return work.share; });
 }
 
 const ClassSpec* SimulatedCallers::chooseClass() {
-  const auto& classes = world_.deployment.classes;
-  double total = 0;
-  for (const ClassSpec& spec : classes) {
-    total += spec.share;
-  }
-  double point = world_.random.uniform() * total;
-  for (const ClassSpec& spec : classes) {
-    point -= spec.share;
-    if (point < 0) {
-      return &spec;
-    }
-  }
-  return classes.empty() ? nullptr : &classes.back();
+  return drawByShare(world_.deployment.classes, world_.random,
+                     [](const ClassSpec& spec) { return spec.share; });
 }
 
 void SimulatedCallers::offer(const WorkSpec& work, const ClassSpec* caller_class) {
@@ -70,14 +46,10 @@
   request->work = &work;
   request->caller_class = caller_class;
   request->number = next_number_++;
-  request->intended = world_.now();
   if (work.type.kind == WorkKind::kCommitOnce) {
     request->key = "k" + std::to_string(request->number);
   }
   open_ += 1;
-  world_.recorder.offered(work.type.kind,
-                          caller_class == nullptr ? "" : caller_class->priority_class.name,
-                          world_.now());
   sendAttempt(request);
 }
 
@@ -94,8 +66,7 @@
   event.key = request->key;
   event.work = type.name;
   event.kind = workKindName(type.kind);
-  world_.recorder.event(event);
-  world_.recorder.attemptSent();
+  world_.record(event);
   FrontRequest front;
   if (request->caller_class != nullptr &&
       !request->caller_class->priority_class.caller_keys.empty()) {
@@ -167,13 +138,8 @@
   event.number = answer.error == ErrorKind::kNone
                      ? answer.status
                      : static_cast<std::uint64_t>(errorAnswer(answer.error).http_status);
-  world_.recorder.event(event);
-  const std::string caller_class =
-      request->caller_class == nullptr ? "" : request->caller_class->priority_class.name;
+  world_.record(event);
   if (body && body->nonce == request->nonce) {
-    world_.recorder.completed(type.kind, caller_class, request->nonce,
-                              world_.now() - request->intended, world_.now());
-    world_.recorder.attemptEnded(request->nonce);
     open_ -= 1;
     if (!stopped_ && world_.random.chance(request->work->repeat_share)) {
       const auto pause =
@@ -186,9 +152,6 @@
     }
     return;
   }
-  if (request->key.empty()) {
-    world_.recorder.attemptEnded(request->nonce);
-  }
   retryOrEnd(request, answer);
 }
 
@@ -196,8 +159,6 @@
   const bool again = options_.retry != ClientRetry::kNone &&
                      request->attempt <= options_.maximum_retries && !stopped_;
   if (!again) {
-    world_.recorder.refused(request->work->type.kind, world_.now());
-    world_.recorder.attemptEnded(request->nonce);
     open_ -= 1;
     return;
   }
