--- a/daemon/proxy/forwarded_request.cc
+++ b/daemon/proxy/forwarded_request.cc
@@ -30,7 +30,7 @@
   head.removeHopByHop();
   removePeerHeaders(head);
   head.set(context_.api.headers().caller_service, context_.settings.service);
-  retry_budget& budget = context_.budget(terms_.service);
+  retry_budget& budget = context_.budgets.of(terms_.service);
   budget.on_first_send(terms_.received);
   if (terms_.attributed.of_repeat) {
     budget.charge(terms_.received);
--- a/daemon/proxy/forwarded_retry.cc
+++ b/daemon/proxy/forwarded_retry.cc
@@ -55,7 +55,7 @@
   context_.directory.onSent(instance, now);
   context_.under_way.insert(this);
   attempt_.emplace(context_.loop, instance);
-  attempt_->send(context_.peer(instance.record.daemon_address), std::move(head), body_,
+  attempt_->send(context_.peers.to(instance.record.daemon_address), std::move(head), body_,
                  terms_.may_run_twice(), shared_from_this());
   if (body_.is_streamed()) {
     body_.release();
@@ -108,7 +108,7 @@
 bool ForwardedRequest::payForRetry() {
   const budget_reserve reserve = reserve_of(terms_.is_call, terms_.attributed.calls_to_come);
   const budget_draw draw = {context_.random.uniform()};
-  const bool paid = context_.budget(terms_.service).take(EventLoop::now(), reserve, draw);
+  const bool paid = context_.budgets.of(terms_.service).take(EventLoop::now(), reserve, draw);
   if (paid) {
     context_.counters.repeats += 1;
   } else {
--- a/daemon/proxy/forwarded_terms.cc
+++ b/daemon/proxy/forwarded_terms.cc
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "core/admission/patience.h"
+#include "core/admission/shedding.h"
 #include "core/answers/front_shedding.h"
 #include "core/tenants/identity.h"
 #include "daemon/proxy/peer_headers.h"
@@ -98,7 +99,9 @@
   if (below.empty()) {
     return std::nullopt;
   }
-  const auto* refusing = refusing_overload(below, context.ranksBelow(this->rank), context.random);
+  const auto ranks = less_urgent_ranks(this->rank, this->traffic->configuration.routes,
+                                       this->traffic->ranks, context.calls);
+  const auto* refusing = refusing_overload(below, ranks, context.random);
   if (refusing == nullptr) {
     return std::nullopt;
   }
--- a/daemon/proxy/proxy_process.cc
+++ b/daemon/proxy/proxy_process.cc
@@ -48,7 +48,7 @@
 ProxySessionOptions sessionOptions(const ProxySettings& settings, const OperatingBounds& bounds) {
   ProxySessionOptions options;
   options.zone = settings.zone;
-  options.seeds = memberAddresses(settings.seeds, settings.member_port);
+  options.seeds = addressesAtPort(settings.seeds, settings.member_port);
   options.incarnation = incarnationNow();
   options.random_seed = randomNumber64();
   const auto renewal = authority_lease(bounds.revocation).renewal_interval();
@@ -231,7 +231,7 @@
     logEvent(now, "settings_refused", {{"error", error}});
     return;
   }
-  session_.setSeeds(memberAddresses(settings->seeds, settings->member_port));
+  session_.setSeeds(addressesAtPort(settings->seeds, settings->member_port));
   logEvent(now, "settings_taken", {{"signal", asked ? "yes" : "no"}});
 }
 
--- a/daemon/proxy/proxy_settings.cc
+++ b/daemon/proxy/proxy_settings.cc
@@ -6,11 +6,7 @@
 constexpr IntegerRange kPortRange = {1, 65535};
 constexpr IntegerRange kDescriptorRange = {64, 10'000'000};
 
-}  // namespace
-
-std::optional<ProxySettings> readProxySettings(const std::string& path, std::string& error) {
-  SettingsFile file(path);
-  SettingsTable root = file.root();
+ProxySettings settingsOf(SettingsTable& root) {
   ProxySettings settings;
   settings.name = root.requiredString("name");
   settings.zone = root.requiredString("zone");
@@ -26,29 +22,14 @@
   settings.max_descriptors =
       static_cast<std::uint32_t>(root.optionalInteger("max_descriptors", 0, kDescriptorRange));
   settings.bounds = root.strings("bounds");
-  for (const std::string& seed : settings.seeds) {
-    if (!parseEndpoint(seed)) {
-      root.reject("seeds", "expected HOST:PORT with a numeric IPv4 host, found '" + seed + "'");
-    }
-  }
-  root.finish();
-  if (file.error()) {
-    error = *file.error();
-    return std::nullopt;
-  }
+  requireEndpoints(root, "seeds", settings.seeds);
   return settings;
 }
 
-std::vector<std::string> memberAddresses(const std::vector<std::string>& seeds,
-                                         std::uint16_t member_port) {
-  std::vector<std::string> addresses;
-  for (const std::string& seed : seeds) {
-    const auto endpoint = parseEndpoint(seed);
-    if (endpoint) {
-      addresses.push_back(Endpoint{endpoint->host, member_port}.toString());
-    }
-  }
-  return addresses;
+}  // namespace
+
+std::optional<ProxySettings> readProxySettings(const std::string& path, std::string& error) {
+  return readSettingsFile(path, error, settingsOf);
 }
 
 }  // namespace ramppond
--- a/daemon/proxy/proxy_settings.h
+++ b/daemon/proxy/proxy_settings.h
@@ -27,8 +27,4 @@
 /// Reads `path`. On an error gives nothing and sets `error`.
 std::optional<ProxySettings> readProxySettings(const std::string& path, std::string& error);
 
-/// The addresses at which the seeds talk to proxies: their hosts with `member_port`.
-std::vector<std::string> memberAddresses(const std::vector<std::string>& seeds,
-                                         std::uint16_t member_port);
-
 }  // namespace ramppond
