--- a/core/crash_evidence/request_verdicts.cc
+++ b/core/crash_evidence/crash_attribution.cc
@@ -1,4 +1,4 @@
-#include "core/crash_evidence/request_verdicts.h"
+#include "core/crash_evidence/crash_attribution.h"
 
 #include <algorithm>
 #include <utility>
--- a/core/crash_evidence/crash_ledger.h
+++ b/core/crash_evidence/crash_ledger.h
@@ -12,10 +12,10 @@
 #include <string>
 #include <vector>
 
-#include "core/crash_evidence/good_ends.h"
+#include "core/crash_evidence/crash_attribution.h"
+#include "core/crash_evidence/crash_detector.h"
 #include "core/crash_evidence/instance_evidence.h"
-#include "core/crash_evidence/request_verdicts.h"
-#include "core/crash_evidence/server_end_watch.h"
+#include "core/crash_evidence/recent_successes.h"
 
 namespace ramppond {
 
--- a/core/crash_evidence/good_ends.cc
+++ b/core/crash_evidence/recent_successes.cc
@@ -1,4 +1,4 @@
-#include "core/crash_evidence/good_ends.h"
+#include "core/crash_evidence/recent_successes.h"
 
 #include <utility>
 
--- a/daemon/proxy/crash_guard.h
+++ b/daemon/proxy/crash_guard.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "core/crash_evidence/crash_ledger.h"
-#include "core/crash_evidence/isolation_lane.h"
+#include "core/crash_evidence/isolation_queue.h"
 #include "daemon/proxy/server_probe.h"
 #include "net/stream/event_loop.h"
 
--- a/tests/core/crash_evidence/server_end_watch_test.cc
+++ b/tests/core/crash_evidence/crash_detector_test.cc
@@ -1,4 +1,4 @@
-#include "core/crash_evidence/server_end_watch.h"
+#include "core/crash_evidence/crash_detector.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/core/crash_evidence/crash_fleet_test.cc
+++ b/tests/core/crash_evidence/crash_fleet_test.cc
@@ -12,7 +12,7 @@
 
 #include "core/crash_evidence/crash_ledger.h"
 #include "core/crash_evidence/evidence_registry.h"
-#include "core/crash_evidence/isolation_lane.h"
+#include "core/crash_evidence/isolation_queue.h"
 #include "core/crash_evidence/trial_place.h"
 #include "core/overloaded.h"
 #include "core/random.h"
--- a/tests/core/crash_evidence/isolation_lane_test.cc
+++ b/tests/core/crash_evidence/isolation_queue_test.cc
@@ -1,4 +1,4 @@
-#include "core/crash_evidence/isolation_lane.h"
+#include "core/crash_evidence/isolation_queue.h"
 
 #include <gtest/gtest.h>
 
