--- a/core/crash_evidence/crash_attribution.h
+++ b/core/crash_evidence/crash_attribution.h
@@ -40,13 +40,13 @@
 using standing = std::variant<unsuspected, suspected, on_trial, barred>;
 
 /// A request that was found to end servers, with the evidence.
-struct bar_verdict {
+struct block_decision {
   request_digest digest;
   std::vector<std::string> instances;  // that ended
   Duration length{0};
 };
 
-class request_verdicts {
+class crash_attribution {
  public:
   /// Takes a record; one that is not newer than what is known of its instance
   /// changes nothing.
@@ -55,54 +55,54 @@
   /// record of that end may still be on its way.
   void on_hearsay(const request_digest& digest, TimePoint now);
   /// It ended well at the own server. Returns whether others should know.
-  auto on_good_end(const request_digest& digest, TimePoint now) -> bool;
+  auto on_success(const request_digest& digest, TimePoint now) -> bool;
 
-  [[nodiscard]] auto of(const request_digest& digest, TimePoint now) const -> standing;
+  [[nodiscard]] auto suspicion_of(const request_digest& digest, TimePoint now) const -> standing;
 
   /// Verdicts found since the last call.
-  auto take_bars() -> std::vector<bar_verdict>;
-  /// Requests that were barred and then ended well: verdicts that were wrong.
-  [[nodiscard]] auto withdrawn() const -> std::uint64_t { return this->bars_withdrawn; }
+  auto take_blocks() -> std::vector<block_decision>;
+  /// Requests that were barred and then ended well: attribution that were wrong.
+  [[nodiscard]] auto withdrawn_blocks() const -> std::uint64_t { return this->withdrawn_count; }
   [[nodiscard]] auto size() const -> std::size_t { return this->suspects.size(); }
-  [[nodiscard]] auto known_instances() const -> std::size_t { return this->ends.size(); }
+  [[nodiscard]] auto known_instances() const -> std::size_t { return this->crashes.size(); }
 
  private:
   struct suspect {
-    std::vector<std::string> ends;  // instances at whose end it was under way
-    std::optional<TimePoint> hearsay;
-    std::optional<TimePoint> barred_until;
-    Duration bar_length{0};
-    std::optional<TimePoint> cleared;        // by a good end
-    std::optional<TimePoint> clearing_told;  // by this daemon or to it
+    std::vector<std::string> crashes;  // instances at whose end it was under way
+    std::optional<TimePoint> reported_crash;
+    std::optional<TimePoint> blocked_until;
+    Duration block_length{0};
+    std::optional<TimePoint> cleared;            // by a good end
+    std::optional<TimePoint> clearing_reported;  // by this daemon or to it
   };
-  struct instance_end {
+  struct instance_crash {
     std::uint64_t revision = 0;
     TimePoint when{0};
     std::vector<request_digest> under_way;
     std::vector<request_digest> isolated;
     std::optional<request_digest> blamed;  // explains the end
   };
-  void add_end(const instance_evidence& evidence, TimePoint now);
-  auto remove_end(const std::string& instance_id) -> std::vector<request_digest>;
-  void blame_barred(instance_end& ended, TimePoint now) const;
+  void add_crash(const instance_evidence& evidence, TimePoint now);
+  auto remove_crash(const std::string& instance_id) -> std::vector<request_digest>;
+  void blame_blocked(instance_crash& ended, TimePoint now) const;
   void judge(const request_digest& digest, TimePoint now);
-  [[nodiscard]] auto is_proved(const request_digest& digest, const suspect& judged,
+  [[nodiscard]] auto is_proven(const request_digest& digest, const suspect& judged,
                                TimePoint now) const -> bool;
-  [[nodiscard]] auto ends_beside(const request_digest& digest, const instance_end& ended) const
-      -> std::size_t;
+  [[nodiscard]] auto correlated_crashes(const request_digest& digest,
+                                        const instance_crash& ended) const -> std::size_t;
   void clear(const request_digest& digest, suspect& cleared, TimePoint now);
   void make_room(TimePoint now);
-  void drop_end(const std::string& instance_id);
+  void drop_crash(const std::string& instance_id);
   void drop_suspects(TimePoint now);
-  [[nodiscard]] auto counts(const suspect& judged, const instance_end& ended, TimePoint now) const
+  [[nodiscard]] auto counts(const suspect& judged, const instance_crash& ended, TimePoint now) const
       -> bool;
-  [[nodiscard]] auto ends_held(const request_digest& digest, const suspect& judged,
-                               TimePoint now) const -> std::uint32_t;
+  [[nodiscard]] auto counted_crashes(const request_digest& digest, const suspect& judged,
+                                     TimePoint now) const -> std::uint32_t;
 
   std::unordered_map<request_digest, suspect> suspects;
-  std::map<std::string, instance_end> ends;  // by instance
-  std::vector<bar_verdict> bars;
-  std::uint64_t bars_withdrawn = 0;
+  std::map<std::string, instance_crash> crashes;  // by instance
+  std::vector<block_decision> blocks;
+  std::uint64_t withdrawn_count = 0;
 };
 
 }  // namespace ramppond
--- a/core/crash_evidence/crash_detector.h
+++ b/core/crash_evidence/crash_detector.h
@@ -21,7 +21,7 @@
 namespace ramppond {
 
 /// A server that ended without a word.
-struct ended_server {
+struct crashed_server {
   std::string instance_id;
   std::vector<request_digest> under_way;  // sorted, each once
   std::vector<request_digest> isolated;   // likewise; see server_run
@@ -34,7 +34,7 @@
   bool isolated = false;  // begun under suspicion while no other suspected one ran
 };
 
-class server_end_watch {
+class crash_detector {
  public:
   /// The connection on which the server was at work on a request ended before
   /// the answer did.
@@ -48,7 +48,7 @@
   /// The server that runs `instance_id` has ended: its address refuses
   /// connections and none stands, or another instance is there. Nothing if no
   /// request was lost with it.
-  auto on_end(const std::string& instance_id, TimePoint now) -> std::optional<ended_server>;
+  auto on_gone(const std::string& instance_id, TimePoint now) -> std::optional<crashed_server>;
 
   /// Whether requests were lost of which nobody knows yet if the server lives.
   [[nodiscard]] auto is_pending() const -> bool;
@@ -57,7 +57,7 @@
   struct lost_run {
     server_run run;
     TimePoint when{0};
-    bool left = false;
+    bool abandoned = false;
   };
   void add(const lost_run& lost);
 
--- a/core/crash_evidence/crash_ledger.cc
+++ b/core/crash_evidence/crash_ledger.cc
@@ -11,42 +11,42 @@
 constexpr auto most_own_records = std::size_t(16);
 // A good end is told again with later ones for as long as its first record may
 // have been replaced before it was sent.
-constexpr auto good_end_told = seconds(10);
+constexpr auto success_reported_for = seconds(10);
 
 }  // namespace
 
 // A request that ended well here of late is no danger here, whatever others have seen.
 auto crash_ledger::judge(const request_digest& digest, TimePoint now) const -> standing {
-  return this->ended_well.contains(digest, now) ? standing(unsuspected{})
-                                                : this->verdicts.of(digest, now);
+  return this->successes.contains(digest, now) ? standing(unsuspected{})
+                                               : this->attribution.suspicion_of(digest, now);
 }
 
 void crash_ledger::on_hearsay(const request_digest& digest, TimePoint now) {
-  this->verdicts.on_hearsay(digest, now);
+  this->attribution.on_hearsay(digest, now);
 }
 
 void crash_ledger::on_lost(const server_run& run, TimePoint now) {
-  this->watch.on_lost(run, now);
+  this->detector.on_lost(run, now);
 }
 
 void crash_ledger::on_left(const server_run& run, TimePoint now) {
-  this->watch.on_left(run, now);
+  this->detector.on_left(run, now);
 }
 
 void crash_ledger::on_alive(TimePoint begun) {
-  this->watch.on_alive(begun);
+  this->detector.on_alive(begun);
 }
 
 auto crash_ledger::on_server_gone(const server_instance& server, TimePoint now)
-    -> std::optional<end_report> {
-  const auto ended = this->watch.on_end(server.id, now);
+    -> std::optional<crash_report> {
+  const auto ended = this->detector.on_gone(server.id, now);
   if (!ended) {
     return std::nullopt;
   }
   const auto is_candidate = [&](const request_digest& digest) {
-    return !this->ended_well.contains(digest, now);
+    return !this->successes.contains(digest, now);
   };
-  auto report = end_report();
+  auto report = crash_report();
   report.under_way = ended->under_way.size();
   std::copy_if(ended->under_way.begin(), ended->under_way.end(),
                std::back_inserter(report.candidates), is_candidate);
@@ -57,8 +57,8 @@
   record.when = now;
   record.evidence.under_way = report.candidates;
   record.evidence.isolated = report.isolated;
-  this->tell(record, now);
-  this->verdicts.on_evidence(record.evidence, now);
+  this->report_record(record, now);
+  this->attribution.on_evidence(record.evidence, now);
   return report;
 }
 
@@ -78,40 +78,40 @@
   return record;
 }
 
-void crash_ledger::tell(own_record& record, TimePoint now) {
+void crash_ledger::report_record(own_record& record, TimePoint now) {
   record.evidence.revision += 1;
   record.evidence.age = now - record.when;
-  this->untold.push_back(record.evidence);
+  this->unreported.push_back(record.evidence);
 }
 
-auto crash_ledger::take_untold() -> std::vector<instance_evidence> {
-  return std::exchange(this->untold, {});
+auto crash_ledger::take_unreported() -> std::vector<instance_evidence> {
+  return std::exchange(this->unreported, {});
 }
 
-void crash_ledger::on_good_end(const request_digest& digest, const server_instance& server,
-                               TimePoint now) {
-  this->ended_well.add(digest, now);
-  if (this->verdicts.on_good_end(digest, now)) {
-    this->tell_good_end(digest, server, now);
+void crash_ledger::on_success(const request_digest& digest, const server_instance& server,
+                              TimePoint now) {
+  this->successes.add(digest, now);
+  if (this->attribution.on_success(digest, now)) {
+    this->report_success(digest, server, now);
   }
 }
 
-void crash_ledger::tell_good_end(const request_digest& digest, const server_instance& server,
-                                 TimePoint now) {
+void crash_ledger::report_success(const request_digest& digest, const server_instance& server,
+                                  TimePoint now) {
   this->cleared_for_all += 1;
-  while (!this->told_good_ends.empty() &&
-         (this->told_good_ends.size() >= most_ended_well ||
-          now - this->told_good_ends.front().when >= good_end_told)) {
-    this->told_good_ends.pop_front();
+  while (!this->reported_successes.empty() &&
+         (this->reported_successes.size() >= most_succeeded ||
+          now - this->reported_successes.front().when >= success_reported_for)) {
+    this->reported_successes.pop_front();
   }
-  this->told_good_ends.push_back({digest, now});
+  this->reported_successes.push_back({digest, now});
   auto& record = this->record_of(server);
   record.when = now;
-  record.evidence.ended_well.clear();
-  for (const auto& told : this->told_good_ends) {
-    record.evidence.ended_well.push_back(told.digest);
+  record.evidence.succeeded.clear();
+  for (const auto& success : this->reported_successes) {
+    record.evidence.succeeded.push_back(success.digest);
   }
-  this->tell(record, now);
+  this->report_record(record, now);
   this->withdraw(digest, now);
 }
 
@@ -124,20 +124,20 @@
       continue;
     }
     listed.erase(found);
-    this->tell(record, now);
+    this->report_record(record, now);
   }
 }
 
 void crash_ledger::take(const std::vector<instance_evidence>& news, const server_instance& server,
                         TimePoint now) {
   for (const auto& evidence : news) {
-    this->verdicts.on_evidence(evidence, now);
+    this->attribution.on_evidence(evidence, now);
     for (const auto& digest : evidence.under_way) {
-      if (this->ended_well.contains(digest, now) && this->verdicts.on_good_end(digest, now)) {
-        this->tell_good_end(digest, server, now);
+      if (this->successes.contains(digest, now) && this->attribution.on_success(digest, now)) {
+        this->report_success(digest, server, now);
       }
     }
-    for (const auto& digest : evidence.ended_well) {
+    for (const auto& digest : evidence.succeeded) {
       this->withdraw(digest, now);
     }
   }
--- a/core/crash_evidence/instance_evidence.h
+++ b/core/crash_evidence/instance_evidence.h
@@ -19,7 +19,7 @@
 /// A server works on a few hundred requests at a time at most; of a longer list
 /// the first are taken.
 constexpr auto most_under_way = std::size_t(256);
-constexpr auto most_ended_well = std::size_t(64);
+constexpr auto most_succeeded = std::size_t(64);
 
 struct instance_evidence {
   std::string instance_id;
@@ -32,7 +32,7 @@
   /// Those of them that were begun under suspicion, so that they ran alone.
   std::vector<request_digest> isolated;
   /// Requests under suspicion that ended well at it.
-  std::vector<request_digest> ended_well;
+  std::vector<request_digest> succeeded;
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -42,7 +42,7 @@
     visitor(4, age);
     visitor(5, under_way);
     visitor(6, isolated);
-    visitor(7, ended_well);
+    visitor(7, succeeded);
   }
 };
 
--- a/core/crash_evidence/isolation_queue.cc
+++ b/core/crash_evidence/isolation_queue.cc
@@ -4,7 +4,7 @@
 
 namespace ramppond {
 
-auto isolation_lane::enter(request_id id, TimePoint give_up) -> bool {
+auto isolation_queue::enter(request_id id, TimePoint give_up) -> bool {
   if (!this->holder && this->queue.empty()) {
     this->holder = id;
     return true;
@@ -13,7 +13,7 @@
   return false;
 }
 
-void isolation_lane::leave(request_id id) {
+void isolation_queue::leave(request_id id) {
   if (this->holder == id) {
     this->holder.reset();
     return;
@@ -23,7 +23,7 @@
                     this->queue.end());
 }
 
-auto isolation_lane::take_next() -> std::optional<request_id> {
+auto isolation_queue::take_next() -> std::optional<request_id> {
   if (this->holder || this->queue.empty()) {
     return std::nullopt;
   }
@@ -32,7 +32,7 @@
   return this->holder;
 }
 
-auto isolation_lane::take_expired(TimePoint now) -> std::vector<request_id> {
+auto isolation_queue::take_expired(TimePoint now) -> std::vector<request_id> {
   auto expired = std::vector<request_id>();
   auto kept = std::deque<waiter>();
   for (const auto& w : this->queue) {
@@ -46,7 +46,7 @@
   return expired;
 }
 
-auto isolation_lane::next_expiry() const -> std::optional<TimePoint> {
+auto isolation_queue::next_expiry() const -> std::optional<TimePoint> {
   auto next = std::optional<TimePoint>();
   for (const auto& w : this->queue) {
     next = std::min(next.value_or(w.give_up), w.give_up);
--- a/core/crash_evidence/isolation_queue.h
+++ b/core/crash_evidence/isolation_queue.h
@@ -16,7 +16,7 @@
 
 namespace ramppond {
 
-class isolation_lane {
+class isolation_queue {
  public:
   /// Names one request; chosen by the caller, never reused.
   using request_id = std::uint64_t;
--- a/core/crash_evidence/recent_successes.h
+++ b/core/crash_evidence/recent_successes.h
@@ -11,7 +11,7 @@
 
 namespace ramppond {
 
-class good_ends {
+class recent_successes {
  public:
   void add(const request_digest& digest, TimePoint now);
   [[nodiscard]] auto contains(const request_digest& digest, TimePoint now) const -> bool;
--- a/core/crash_evidence/trial_place.h
+++ b/core/crash_evidence/trial_place.h
@@ -1,5 +1,5 @@
 // At which server of a service a request on trial runs: the same one for all
-// daemons that know the same servers, without a word between them, another one
+// proxies that know the same servers, without a word between them, another one
 // for another request, and another one once it is gone (rendezvous hashing).
 // Pure, thread safe.
 #pragma once
@@ -11,8 +11,8 @@
 
 namespace ramppond {
 
-/// Whether `own` of all `daemons` beside servers of the service has the trial.
+/// Whether `own` of all `proxies` beside servers of the service has the trial.
 [[nodiscard]] auto is_trial_place(const request_digest& digest, const std::string& own,
-                                  const std::vector<std::string>& daemons) -> bool;
+                                  const std::vector<std::string>& proxies) -> bool;
 
 }  // namespace ramppond
--- a/daemon/proxy/crash_guard.cc
+++ b/daemon/proxy/crash_guard.cc
@@ -75,8 +75,8 @@
 void crash_guard::on_answered(const request_digest& digest, TimePoint begun, bool well) {
   this->ledger.on_alive(begun);
   if (well) {
-    this->ledger.on_good_end(digest, this->server(), EventLoop::now());
-    this->tell_news();
+    this->ledger.on_success(digest, this->server(), EventLoop::now());
+    this->report_new_records();
   }
 }
 
@@ -128,42 +128,42 @@
             {"under_way", std::to_string(report->under_way)},
             {"digests", join(report->candidates)},
             {"isolated", join(report->isolated)}});
-  this->tell_news();
+  this->report_new_records();
 }
 
 void crash_guard::take(const std::vector<instance_evidence>& news) {
   if (!news.empty()) {
     this->ledger.take(news, this->server(), EventLoop::now());
-    this->tell_news();
+    this->report_new_records();
     this->reconsider_waiting();
   }
 }
 
-// Tells the control group of new records, and the log of new verdicts.
-void crash_guard::tell_news() {
+// Tells the control group of new records, and the log of new attribution.
+void crash_guard::report_new_records() {
   const auto now = EventLoop::now();
-  for (const auto& evidence : this->ledger.take_untold()) {
+  for (const auto& evidence : this->ledger.take_unreported()) {
     this->on_evidence(evidence);
   }
-  this->context.counters.bars_withdrawn = this->ledger.withdrawn();
+  this->context.counters.bars_withdrawn = this->ledger.withdrawn_blocks();
   this->context.counters.suspects_cleared = this->ledger.cleared();
-  const auto bars = this->ledger.take_bars();
-  for (const auto& bar : bars) {
+  const auto blocks = this->ledger.take_blocks();
+  for (const auto& block : blocks) {
     this->context.counters.requests_barred += 1;
     logEvent(now.count(), "request_barred",
-             {{"digest", format_digest(bar.digest)},
-              {"instances", join(bar.instances)},
-              {"length_us", std::to_string(bar.length.count())}});
+             {{"digest", format_digest(block.digest)},
+              {"instances", join(block.instances)},
+              {"length_us", std::to_string(block.length.count())}});
   }
-  if (!bars.empty()) {
+  if (!blocks.empty()) {
     this->reconsider_waiting();
   }
 }
 
 auto crash_guard::enter(const std::shared_ptr<InboundRequest>& request,
-                        isolation_lane::request_id id, TimePoint give_up) -> bool {
+                        isolation_queue::request_id id, TimePoint give_up) -> bool {
   this->context.counters.isolated += 1;
-  if (this->lane.enter(id, give_up)) {
+  if (this->isolation.enter(id, give_up)) {
     return true;
   }
   this->waiting[id] = request;
@@ -172,39 +172,39 @@
 }
 
 // Those that wait are told in a later turn: whoever leaves is in the middle of its own end.
-void crash_guard::leave(isolation_lane::request_id id) {
-  this->lane.leave(id);
+void crash_guard::leave(isolation_queue::request_id id) {
+  this->isolation.leave(id);
   this->waiting.erase(id);
   this->schedule_pump();
 }
 
 void crash_guard::schedule_pump() {
-  const auto next = this->lane.next_expiry();
+  const auto next = this->isolation.next_expiry();
   if (!next) {
     return;  // nobody waits
   }
-  const auto wait = this->lane.is_free() ? Duration(0) : *next - EventLoop::now();
+  const auto wait = this->isolation.is_free() ? Duration(0) : *next - EventLoop::now();
   this->pump_timer.after(std::max(wait, Duration(0)), [this] { this->pump(); });
 }
 
 void crash_guard::pump() {
   const auto now = EventLoop::now();
-  const auto take_waiting = [this](isolation_lane::request_id id) {
+  const auto take_waiting = [this](isolation_queue::request_id id) {
     const auto found = this->waiting.find(id);
     auto request = found == this->waiting.end() ? nullptr : found->second.lock();
     this->waiting.erase(id);
     return request;
   };
-  for (const auto id : this->lane.take_expired(now)) {
+  for (const auto id : this->isolation.take_expired(now)) {
     const auto request = take_waiting(id);
     if (request != nullptr) {
       request->onIsolationEnded();
     }
   }
-  while (const auto id = this->lane.take_next()) {
+  while (const auto id = this->isolation.take_next()) {
     const auto request = take_waiting(*id);
     if (request == nullptr) {
-      this->lane.leave(*id);
+      this->isolation.leave(*id);
       continue;
     }
     request->onAlone();
@@ -216,7 +216,7 @@
 void crash_guard::reconsider_waiting() {
   const auto before = std::exchange(this->waiting, {});
   for (const auto& [id, weak] : before) {
-    this->lane.leave(id);
+    this->isolation.leave(id);
   }
   for (const auto& [id, weak] : before) {
     const auto request = weak.lock();
--- a/daemon/proxy/crash_guard.h
+++ b/daemon/proxy/crash_guard.h
@@ -53,24 +53,24 @@
 
   /// Whether a suspected request may go on at once; otherwise its onAlone() or,
   /// at `give_up`, its onIsolationEnded() follows.
-  auto enter(const std::shared_ptr<InboundRequest>& request, isolation_lane::request_id id,
+  auto enter(const std::shared_ptr<InboundRequest>& request, isolation_queue::request_id id,
              TimePoint give_up) -> bool;
   /// It has ended, or waits no longer; one that never entered is passed over.
-  void leave(isolation_lane::request_id id);
+  void leave(isolation_queue::request_id id);
 
  private:
   void check_server();
   void on_probed(probe_answer answer);
   [[nodiscard]] auto server() const -> server_instance;
-  void tell_news();
+  void report_new_records();
   void pump();
   void schedule_pump();
   void reconsider_waiting();
 
   ProxyContext& context;
   crash_ledger ledger;
-  isolation_lane lane;
-  std::map<isolation_lane::request_id, std::weak_ptr<InboundRequest>> waiting;
+  isolation_queue isolation;
+  std::map<isolation_queue::request_id, std::weak_ptr<InboundRequest>> waiting;
   std::shared_ptr<server_probe> probe;
   LoopTimer check_timer;
   LoopTimer pump_timer;
--- a/tests/core/crash_evidence/crash_attribution_test.cc
+++ b/tests/core/crash_evidence/crash_attribution_test.cc
@@ -13,8 +13,8 @@
 constexpr auto other = request_digest{3, 3};
 const auto now = TimePoint(std::chrono::hours(10));
 
-auto end_of(const std::string& instance, std::vector<request_digest> under_way,
-            std::vector<request_digest> isolated = {}) -> instance_evidence {
+auto crash_of(const std::string& instance, std::vector<request_digest> under_way,
+              std::vector<request_digest> isolated = {}) -> instance_evidence {
   auto evidence = instance_evidence();
   evidence.instance_id = instance;
   evidence.service = "templates";
@@ -24,9 +24,9 @@
   return evidence;
 }
 
-auto good_end_at(const std::string& instance, const request_digest& digest) -> instance_evidence {
-  auto evidence = end_of(instance, {});
-  evidence.ended_well = {digest};
+auto success_at(const std::string& instance, const request_digest& digest) -> instance_evidence {
+  auto evidence = crash_of(instance, {});
+  evidence.succeeded = {digest};
   return evidence;
 }
 
@@ -35,7 +35,7 @@
   return names[held.index()];
 }
 
-struct verdict_case {
+struct attribution_case {
   const char* name;
   std::vector<instance_evidence> records;
   const char* of_harmful;
@@ -43,148 +43,150 @@
 };
 
 // Keeps the name of a test the same in every run.
-void PrintTo(const verdict_case& tested, std::ostream* out) {
+void PrintTo(const attribution_case& tested, std::ostream* out) {
   *out << tested.name;
 }
 
-class verdict_table : public testing::TestWithParam<verdict_case> {};
+class attribution_table : public testing::TestWithParam<attribution_case> {};
 
-TEST_P(verdict_table, is_the_same_in_whatever_order_records_come) {
+TEST_P(attribution_table, is_the_same_in_whatever_order_records_come) {
   auto records = GetParam().records;
   const auto by_instance = [](const auto& a, const auto& b) {
     return a.instance_id < b.instance_id;
   };
   std::sort(records.begin(), records.end(), by_instance);
   do {
-    auto verdicts = request_verdicts();
+    auto attribution = crash_attribution();
     for (const auto& record : records) {
-      verdicts.on_evidence(record, now);
-      verdicts.on_evidence(record, now);  // one that comes twice changes nothing
+      attribution.on_evidence(record, now);
+      attribution.on_evidence(record, now);  // one that comes twice changes nothing
     }
-    EXPECT_EQ(name_of(verdicts.of(harmful, now)), GetParam().of_harmful);
-    EXPECT_EQ(name_of(verdicts.of(beside, now)), GetParam().of_beside);
+    EXPECT_EQ(name_of(attribution.suspicion_of(harmful, now)), GetParam().of_harmful);
+    EXPECT_EQ(name_of(attribution.suspicion_of(beside, now)), GetParam().of_beside);
   } while (std::next_permutation(records.begin(), records.end(), by_instance));
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    table, verdict_table,
+    table, attribution_table,
     testing::Values(
-        verdict_case{"nothing", {}, "unsuspected", "unsuspected"},
-        verdict_case{"one_end", {end_of("a", {harmful, beside})}, "suspected", "suspected"},
-        verdict_case{"two_ends_with_others_to_blame",
-                     {end_of("a", {harmful, beside}), end_of("b", {harmful, beside})},
-                     "suspected",
-                     "suspected"},
-        verdict_case{"two_ends_the_second_isolated",
-                     {end_of("a", {harmful, beside}), end_of("b", {harmful, other}, {harmful})},
-                     "barred",
-                     "unsuspected"},
-        verdict_case{"one_end_isolated_after_hearsay",
-                     {end_of("a", {harmful}, {harmful})},
-                     "suspected",
-                     "unsuspected"},
-        verdict_case{"two_ends_isolated_beside_another_suspect",
-                     {end_of("a", {harmful, beside}), end_of("b", {harmful, beside}, {beside})},
-                     "suspected",
-                     "suspected"},
-        verdict_case{"two_ends_at_once_with_nothing_beside",
-                     {end_of("a", {harmful}), end_of("b", {harmful})},
-                     "suspected",
-                     "unsuspected"},
-        verdict_case{
-            "three_ends_at_once",
-            {end_of("a", {harmful, beside}), end_of("b", {harmful}), end_of("c", {harmful})},
+        attribution_case{"nothing", {}, "unsuspected", "unsuspected"},
+        attribution_case{"one_crash", {crash_of("a", {harmful, beside})}, "suspected", "suspected"},
+        attribution_case{"two_crashes_with_others_to_blame",
+                         {crash_of("a", {harmful, beside}), crash_of("b", {harmful, beside})},
+                         "suspected",
+                         "suspected"},
+        attribution_case{
+            "two_crashes_the_second_isolated",
+            {crash_of("a", {harmful, beside}), crash_of("b", {harmful, other}, {harmful})},
+            "barred",
+            "unsuspected"},
+        attribution_case{"one_crash_isolated_after_a_report",
+                         {crash_of("a", {harmful}, {harmful})},
+                         "suspected",
+                         "unsuspected"},
+        attribution_case{
+            "two_crashes_isolated_beside_another_suspect",
+            {crash_of("a", {harmful, beside}), crash_of("b", {harmful, beside}, {beside})},
+            "suspected",
+            "suspected"},
+        attribution_case{"two_crashes_at_once_with_nothing_beside",
+                         {crash_of("a", {harmful}), crash_of("b", {harmful})},
+                         "suspected",
+                         "unsuspected"},
+        attribution_case{
+            "three_crashes_at_once",
+            {crash_of("a", {harmful, beside}), crash_of("b", {harmful}), crash_of("c", {harmful})},
             "on_trial",
             "suspected"},
-        verdict_case{"a_later_end_of_what_is_barred",
-                     {end_of("a", {harmful}), end_of("b", {harmful}, {harmful}),
-                      end_of("c", {harmful, beside})},
-                     "barred",
-                     "unsuspected"}),
+        attribution_case{"a_later_crash_of_what_is_blocked",
+                         {crash_of("a", {harmful}), crash_of("b", {harmful}, {harmful}),
+                          crash_of("c", {harmful, beside})},
+                         "barred",
+                         "unsuspected"}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(request_verdicts, a_good_end_anywhere_clears_a_request) {
-  auto verdicts = request_verdicts();
+TEST(crash_attribution, a_success_anywhere_clears_a_request) {
+  auto attribution = crash_attribution();
   for (const auto* instance : {"a", "b", "c"}) {
-    verdicts.on_evidence(end_of(instance, {beside}), now);
+    attribution.on_evidence(crash_of(instance, {beside}), now);
   }
-  EXPECT_EQ(name_of(verdicts.of(beside, now)), "on_trial");
-  verdicts.on_evidence(good_end_at("d", beside), now);
-  EXPECT_EQ(name_of(verdicts.of(beside, now)), "unsuspected");
-  // What was under way at the same moment is told later.
-  verdicts.on_evidence(end_of("e", {beside}), now + seconds(1));
-  EXPECT_EQ(name_of(verdicts.of(beside, now + seconds(1))), "unsuspected");
+  EXPECT_EQ(name_of(attribution.suspicion_of(beside, now)), "on_trial");
+  attribution.on_evidence(success_at("d", beside), now);
+  EXPECT_EQ(name_of(attribution.suspicion_of(beside, now)), "unsuspected");
+  // What was under way at the same moment is reported later.
+  attribution.on_evidence(crash_of("e", {beside}), now + seconds(1));
+  EXPECT_EQ(name_of(attribution.suspicion_of(beside, now + seconds(1))), "unsuspected");
 }
 
-TEST(request_verdicts, only_good_ends_that_change_something_are_told) {
-  auto verdicts = request_verdicts();
-  EXPECT_FALSE(verdicts.on_good_end(beside, now));
-  verdicts.on_evidence(end_of("a", {beside}), now);
-  verdicts.on_evidence(end_of("b", {beside}), now);
-  EXPECT_TRUE(verdicts.on_good_end(beside, now));
-  EXPECT_FALSE(verdicts.on_good_end(beside, now + seconds(1)));
+TEST(crash_attribution, only_successes_that_change_something_are_reported) {
+  auto attribution = crash_attribution();
+  EXPECT_FALSE(attribution.on_success(beside, now));
+  attribution.on_evidence(crash_of("a", {beside}), now);
+  attribution.on_evidence(crash_of("b", {beside}), now);
+  EXPECT_TRUE(attribution.on_success(beside, now));
+  EXPECT_FALSE(attribution.on_success(beside, now + seconds(1)));
 }
 
-TEST(request_verdicts, a_wrong_bar_is_withdrawn_and_its_ends_are_open_again) {
-  auto verdicts = request_verdicts();
-  verdicts.on_evidence(end_of("a", {beside, harmful}), now);
-  verdicts.on_evidence(end_of("b", {beside}, {beside}), now);
-  EXPECT_EQ(name_of(verdicts.of(beside, now)), "barred");
-  EXPECT_EQ(name_of(verdicts.of(harmful, now)), "unsuspected");
-  EXPECT_TRUE(verdicts.on_good_end(beside, now));
-  EXPECT_EQ(verdicts.withdrawn(), 1U);
-  EXPECT_EQ(name_of(verdicts.of(beside, now)), "unsuspected");
-  EXPECT_EQ(name_of(verdicts.of(harmful, now)), "suspected");
+TEST(crash_attribution, a_wrong_block_is_withdrawn_and_its_crashes_are_open_again) {
+  auto attribution = crash_attribution();
+  attribution.on_evidence(crash_of("a", {beside, harmful}), now);
+  attribution.on_evidence(crash_of("b", {beside}, {beside}), now);
+  EXPECT_EQ(name_of(attribution.suspicion_of(beside, now)), "barred");
+  EXPECT_EQ(name_of(attribution.suspicion_of(harmful, now)), "unsuspected");
+  EXPECT_TRUE(attribution.on_success(beside, now));
+  EXPECT_EQ(attribution.withdrawn_blocks(), 1U);
+  EXPECT_EQ(name_of(attribution.suspicion_of(beside, now)), "unsuspected");
+  EXPECT_EQ(name_of(attribution.suspicion_of(harmful, now)), "suspected");
 }
 
-TEST(request_verdicts, a_bar_ends_and_one_more_end_makes_it_longer) {
-  auto verdicts = request_verdicts();
-  verdicts.on_evidence(end_of("a", {harmful}), now);
-  verdicts.on_evidence(end_of("b", {harmful}, {harmful}), now);
-  const auto bars = verdicts.take_bars();
-  ASSERT_EQ(bars.size(), 1U);
-  EXPECT_EQ(bars[0].instances, (std::vector<std::string>{"a", "b"}));
-  const auto later = now + bars[0].length;
-  EXPECT_EQ(name_of(verdicts.of(harmful, later - seconds(1))), "barred");
-  EXPECT_EQ(name_of(verdicts.of(harmful, later)), "on_trial");
-  verdicts.on_evidence(end_of("c", {harmful}, {harmful}), later);
-  const auto again = verdicts.take_bars();
+TEST(crash_attribution, a_block_ends_and_one_more_crash_makes_it_longer) {
+  auto attribution = crash_attribution();
+  attribution.on_evidence(crash_of("a", {harmful}), now);
+  attribution.on_evidence(crash_of("b", {harmful}, {harmful}), now);
+  const auto blocks = attribution.take_blocks();
+  ASSERT_EQ(blocks.size(), 1U);
+  EXPECT_EQ(blocks[0].instances, (std::vector<std::string>{"a", "b"}));
+  const auto later = now + blocks[0].length;
+  EXPECT_EQ(name_of(attribution.suspicion_of(harmful, later - seconds(1))), "barred");
+  EXPECT_EQ(name_of(attribution.suspicion_of(harmful, later)), "on_trial");
+  attribution.on_evidence(crash_of("c", {harmful}, {harmful}), later);
+  const auto again = attribution.take_blocks();
   ASSERT_EQ(again.size(), 1U);
-  EXPECT_EQ(again[0].length, 2 * bars[0].length);
+  EXPECT_EQ(again[0].length, 2 * blocks[0].length);
 }
 
-TEST(request_verdicts, a_record_that_holds_fewer_requests_clears_the_others) {
-  auto verdicts = request_verdicts();
-  verdicts.on_evidence(end_of("a", {harmful, beside}), now);
-  auto fewer = end_of("a", {harmful});
+TEST(crash_attribution, a_record_that_holds_fewer_requests_clears_the_others) {
+  auto attribution = crash_attribution();
+  attribution.on_evidence(crash_of("a", {harmful, beside}), now);
+  auto fewer = crash_of("a", {harmful});
   fewer.revision = 2;
-  verdicts.on_evidence(fewer, now);
-  EXPECT_EQ(name_of(verdicts.of(beside, now)), "unsuspected");
-  EXPECT_EQ(name_of(verdicts.of(harmful, now)), "suspected");
+  attribution.on_evidence(fewer, now);
+  EXPECT_EQ(name_of(attribution.suspicion_of(beside, now)), "unsuspected");
+  EXPECT_EQ(name_of(attribution.suspicion_of(harmful, now)), "suspected");
 }
 
-TEST(request_verdicts, hearsay_lasts_until_the_record_can_have_come) {
-  auto verdicts = request_verdicts();
-  verdicts.on_hearsay(harmful, now);
-  EXPECT_EQ(name_of(verdicts.of(harmful, now)), "suspected");
-  EXPECT_EQ(name_of(verdicts.of(harmful, now + seconds(10))), "unsuspected");
+TEST(crash_attribution, a_reported_crash_counts_until_the_record_can_have_come) {
+  auto attribution = crash_attribution();
+  attribution.on_hearsay(harmful, now);
+  EXPECT_EQ(name_of(attribution.suspicion_of(harmful, now)), "suspected");
+  EXPECT_EQ(name_of(attribution.suspicion_of(harmful, now + seconds(10))), "unsuspected");
 }
 
-TEST(request_verdicts, old_ends_count_no_more) {
-  auto verdicts = request_verdicts();
-  verdicts.on_evidence(end_of("a", {harmful}), now);
-  EXPECT_EQ(name_of(verdicts.of(harmful, now + evidence_lifetime)), "unsuspected");
-  auto old = end_of("b", {beside});
+TEST(crash_attribution, old_crashes_count_no_more) {
+  auto attribution = crash_attribution();
+  attribution.on_evidence(crash_of("a", {harmful}), now);
+  EXPECT_EQ(name_of(attribution.suspicion_of(harmful, now + evidence_lifetime)), "unsuspected");
+  auto old = crash_of("b", {beside});
   old.age = evidence_lifetime;
-  verdicts.on_evidence(old, now);
-  EXPECT_EQ(name_of(verdicts.of(beside, now)), "unsuspected");
+  attribution.on_evidence(old, now);
+  EXPECT_EQ(name_of(attribution.suspicion_of(beside, now)), "unsuspected");
 }
 
 // A caller with a new identity for each request fills nothing and pushes no bar out.
-TEST(request_verdicts, are_bounded_whatever_ends_under_whatever) {
-  auto verdicts = request_verdicts();
-  verdicts.on_evidence(end_of("a", {harmful}), now);
-  verdicts.on_evidence(end_of("b", {harmful}, {harmful}), now);
+TEST(crash_attribution, is_bounded_whatever_crashes_under_whatever) {
+  auto attribution = crash_attribution();
+  attribution.on_evidence(crash_of("a", {harmful}), now);
+  attribution.on_evidence(crash_of("b", {harmful}, {harmful}), now);
   auto next = std::uint64_t(10);
   for (auto instance = 0; instance < 500; ++instance) {
     auto under_way = std::vector<request_digest>();
@@ -192,15 +194,15 @@
       under_way.push_back({next, next});
       ++next;
     }
-    verdicts.on_evidence(end_of("flood-" + std::to_string(instance), under_way), now);
-    EXPECT_LE(verdicts.size(), 9000U);
+    attribution.on_evidence(crash_of("flood-" + std::to_string(instance), under_way), now);
+    EXPECT_LE(attribution.size(), 9000U);
   }
-  EXPECT_EQ(name_of(verdicts.of(harmful, now)), "barred");
+  EXPECT_EQ(name_of(attribution.suspicion_of(harmful, now)), "barred");
 }
 
 // What is dropped for want of room may still be named by what stays.
-TEST(request_verdicts, outlive_the_records_and_requests_that_were_dropped) {
-  auto verdicts = request_verdicts();
+TEST(crash_attribution, outlives_the_records_and_requests_that_were_dropped) {
+  auto attribution = crash_attribution();
   auto next = std::uint64_t(10);
   const auto flood = [&](TimePoint when) {
     for (auto instance = 0; instance < 80; ++instance) {
@@ -209,19 +211,19 @@
         under_way.push_back({next, next});
         ++next;
       }
-      verdicts.on_evidence(end_of("i-" + std::to_string(next), under_way, {harmful}), when);
+      attribution.on_evidence(crash_of("i-" + std::to_string(next), under_way, {harmful}), when);
     }
   };
   flood(now);
-  EXPECT_EQ(name_of(verdicts.of(harmful, now)), "barred");
+  EXPECT_EQ(name_of(attribution.suspicion_of(harmful, now)), "barred");
   flood(now + evidence_lifetime);
   flood(now + 2 * evidence_lifetime);
-  EXPECT_EQ(name_of(verdicts.of(harmful, now + 2 * evidence_lifetime)), "barred");
+  EXPECT_EQ(name_of(attribution.suspicion_of(harmful, now + 2 * evidence_lifetime)), "barred");
   for (auto instance = 0; instance < 5000; ++instance) {
-    verdicts.on_evidence(good_end_at("quiet-" + std::to_string(instance), beside),
-                         now + 2 * evidence_lifetime);
+    attribution.on_evidence(success_at("quiet-" + std::to_string(instance), beside),
+                            now + 2 * evidence_lifetime);
   }
-  EXPECT_LE(verdicts.known_instances(), 1024U);
+  EXPECT_LE(attribution.known_instances(), 1024U);
 }
 
 }  // namespace
--- a/tests/core/crash_evidence/crash_fleet_test.cc
+++ b/tests/core/crash_evidence/crash_fleet_test.cc
@@ -1,6 +1,6 @@
-// Hundreds of daemons beside the servers of one service, in virtual time: some
-// requests end the servers that run them and come again at any daemon, all
-// others are served. The daemons hear of each other through three members of
+// Hundreds of proxies beside the servers of one service, in virtual time: some
+// requests end the servers that run them and come again at any proxy, all
+// others are served. The proxies hear of each other through three members of
 // the control group, a few tenths of a second late.
 #include <gtest/gtest.h>
 
@@ -22,13 +22,13 @@
 
 constexpr auto step = milliseconds(5);
 constexpr auto work = milliseconds(120);
-constexpr auto work_until_end = milliseconds(90);
+constexpr auto work_until_crash = milliseconds(90);
 constexpr auto time_to_restart = seconds(3);
 constexpr auto time_left = seconds(5);
 constexpr auto poll_interval = milliseconds(20);
 constexpr auto pull_interval = milliseconds(150);
 constexpr auto members = std::size_t(3);
-constexpr auto word_travels = seconds(3);  // the longest that it may take
+constexpr auto report_delay = seconds(3);  // the longest that it may take
 constexpr auto popular_requests = std::uint64_t(50);
 
 auto is_harmful(const request_digest& digest) -> bool {
@@ -36,26 +36,26 @@
 }
 
 struct fleet_options {
-  std::size_t daemons = 200;
+  std::size_t proxies = 200;
   std::uint64_t harmful = 1;       // different ones
   double harmful_a_second = 4;     // tries, of all
   double others_a_second = 400;    // tries, half of them of popular requests
-  bool tells = true;               // daemons hear of each other
+  bool reports = true;             // proxies hear of each other
   std::size_t killed_at_once = 0;  // for another reason, at 2 s
-  std::size_t most_ends = 0;       // of servers: what is under way while the word travels
+  std::size_t most_crashes = 0;    // of servers: what is under way while the word travels
 };
 
 struct fleet_outcome {
-  std::size_t ends = 0;        // of servers, by requests
+  std::size_t crashes = 0;     // of servers, by requests
   std::size_t late_sends = 0;  // the most of one request, after its third end and the word's time
-  std::size_t barred_others = 0;  // that are barred at the end of the run, on some daemon
+  std::size_t blocked_others = 0;  // that are barred at the end of the run, on some proxy
   std::size_t others = 0;
   std::size_t others_refused = 0;  // by a bar
 };
 
 struct run_of_request {
   request_digest digest;
-  isolation_lane::request_id id = 0;
+  isolation_queue::request_id id = 0;
   TimePoint begun{0};
   bool repeat = false;
   bool isolated = false;
@@ -66,11 +66,11 @@
   bool goes_on_at_last = false;
 };
 
-struct simulated_daemon {
+struct simulated_proxy {
   std::string address;
   crash_ledger ledger;
-  isolation_lane lane;
-  std::map<isolation_lane::request_id, waiting_run> waiting;
+  isolation_queue isolation;
+  std::map<isolation_queue::request_id, waiting_run> waiting;
   std::vector<run_of_request> running;
   std::uint64_t starts = 1;
   TimePoint back{0};
@@ -85,22 +85,22 @@
  public:
   simulated_fleet(const fleet_options& options, std::uint64_t seed)
       : options(options), random(seed) {
-    for (auto i = std::size_t(0); i < options.daemons; ++i) {
-      this->daemons.push_back(std::make_unique<simulated_daemon>());
-      this->daemons.back()->address = "daemon-" + std::to_string(i);
+    for (auto i = std::size_t(0); i < options.proxies; ++i) {
+      this->proxies.push_back(std::make_unique<simulated_proxy>());
+      this->proxies.back()->address = "daemon-" + std::to_string(i);
     }
   }
 
   auto play(Duration length) -> fleet_outcome {
     for (const auto end = this->now + length; this->now < end; this->now += step) {
       this->arrive();
-      for (const auto& daemon : this->daemons) {
-        this->advance(*daemon);
+      for (const auto& proxy : this->proxies) {
+        this->advance(*proxy);
       }
-      this->pass_word();
+      this->pass_reports();
       this->kill_if_due();
     }
-    this->outcome.barred_others = this->count_barred_others();
+    this->outcome.blocked_others = this->count_blocked_others();
     for (const auto& [digest, sends] : this->late) {
       this->outcome.late_sends = std::max(this->outcome.late_sends, sends);
     }
@@ -111,12 +111,12 @@
   auto occurs(double a_second) -> bool {
     return this->random.uniform() < a_second * std::chrono::duration<double>(step).count();
   }
-  auto up(const simulated_daemon& daemon) const -> bool { return daemon.back <= this->now; }
-  auto ready_daemons() const -> std::vector<std::string> {
+  auto up(const simulated_proxy& proxy) const -> bool { return proxy.back <= this->now; }
+  auto ready_proxies() const -> std::vector<std::string> {
     auto ready = std::vector<std::string>();
-    for (const auto& daemon : this->daemons) {
-      if (this->up(*daemon)) {
-        ready.push_back(daemon->address);
+    for (const auto& proxy : this->proxies) {
+      if (this->up(*proxy)) {
+        ready.push_back(proxy->address);
       }
     }
     return ready;
@@ -142,113 +142,113 @@
   // To a server that is up, drawn by lot; a few are asked.
   void send(const request_digest& digest, bool repeat) {
     for (auto asked = 0; asked < 6; ++asked) {
-      auto& daemon = *this->daemons[this->random.below(this->daemons.size())];
-      if (this->up(daemon) &&
-          this->offer(daemon, {digest, this->next_id++, this->now, repeat, false})) {
+      auto& proxy = *this->proxies[this->random.below(this->proxies.size())];
+      if (this->up(proxy) &&
+          this->offer(proxy, {digest, this->next_id++, this->now, repeat, false})) {
         return;
       }
     }
   }
 
   // Whether it is not asked elsewhere.
-  auto offer(simulated_daemon& daemon, const run_of_request& run) -> bool {
+  auto offer(simulated_proxy& proxy, const run_of_request& run) -> bool {
     if (run.repeat) {
-      daemon.ledger.on_hearsay(run.digest, this->now);
+      proxy.ledger.on_hearsay(run.digest, this->now);
     }
     return std::visit(
-        overloaded{[&](const unsuspected&) { return this->begin(daemon, run); },
+        overloaded{[&](const unsuspected&) { return this->begin(proxy, run); },
                    [&](const suspected& s) {
                      const auto light = s.ends == 1;
-                     return this->isolate(daemon, run, time_left / (light ? 4 : 2), light);
+                     return this->isolate(proxy, run, time_left / (light ? 4 : 2), light);
                    },
                    [&](const on_trial&) {
-                     return is_trial_place(run.digest, daemon.address, this->ready_daemons()) &&
-                            this->isolate(daemon, run, time_left / 2, false);
+                     return is_trial_place(run.digest, proxy.address, this->ready_proxies()) &&
+                            this->isolate(proxy, run, time_left / 2, false);
                    },
                    [&](const barred&) {
                      this->outcome.others_refused += is_harmful(run.digest) ? 0 : 1;
                      return true;
                    }},
-        daemon.ledger.judge(run.digest, this->now));
+        proxy.ledger.judge(run.digest, this->now));
   }
 
-  auto isolate(simulated_daemon& daemon, run_of_request run, Duration wait, bool goes_on) -> bool {
+  auto isolate(simulated_proxy& proxy, run_of_request run, Duration wait, bool goes_on) -> bool {
     run.isolated = true;
-    if (daemon.lane.enter(run.id, run.begun + wait)) {
-      return this->begin(daemon, run);
+    if (proxy.isolation.enter(run.id, run.begun + wait)) {
+      return this->begin(proxy, run);
     }
-    daemon.waiting[run.id] = {run, goes_on};
+    proxy.waiting[run.id] = {run, goes_on};
     return true;
   }
 
-  auto begin(simulated_daemon& daemon, run_of_request run) -> bool {
+  auto begin(simulated_proxy& proxy, run_of_request run) -> bool {
     run.begun = this->now;
-    daemon.running.push_back(run);
-    const auto third = this->third_end.find(run.digest);
-    if (third != this->third_end.end() && this->now > third->second + word_travels) {
+    proxy.running.push_back(run);
+    const auto third = this->third_crash.find(run.digest);
+    if (third != this->third_crash.end() && this->now > third->second + report_delay) {
       this->late[run.digest] += 1;
     }
     return true;
   }
 
-  void advance(simulated_daemon& daemon) {
-    const auto ends_it = [&](const run_of_request& run) {
-      return is_harmful(run.digest) && this->now - run.begun >= work_until_end;
+  void advance(simulated_proxy& proxy) {
+    const auto crashes_it = [&](const run_of_request& run) {
+      return is_harmful(run.digest) && this->now - run.begun >= work_until_crash;
     };
-    const auto end = std::find_if(daemon.running.begin(), daemon.running.end(), ends_it);
-    if (end != daemon.running.end()) {
-      this->outcome.ends += 1;
-      this->end_server(daemon);
+    const auto end = std::find_if(proxy.running.begin(), proxy.running.end(), crashes_it);
+    if (end != proxy.running.end()) {
+      this->outcome.crashes += 1;
+      this->crash_server(proxy);
       return;
     }
     auto running = std::vector<run_of_request>();
-    for (const auto& run : daemon.running) {
+    for (const auto& run : proxy.running) {
       if (this->now - run.begun < work) {
         running.push_back(run);
         continue;
       }
-      daemon.ledger.on_good_end(run.digest, daemon.instance(), this->now);
-      daemon.lane.leave(run.id);
+      proxy.ledger.on_success(run.digest, proxy.instance(), this->now);
+      proxy.isolation.leave(run.id);
     }
-    daemon.running = running;
-    this->pump(daemon);
+    proxy.running = running;
+    this->pump(proxy);
   }
 
-  void pump(simulated_daemon& daemon) {
-    for (const auto id : daemon.lane.take_expired(this->now)) {
-      auto waited = daemon.waiting[id];
-      daemon.waiting.erase(id);
+  void pump(simulated_proxy& proxy) {
+    for (const auto id : proxy.isolation.take_expired(this->now)) {
+      auto waited = proxy.waiting[id];
+      proxy.waiting.erase(id);
       waited.run.isolated = false;
       if (waited.goes_on_at_last) {
-        this->begin(daemon, waited.run);
+        this->begin(proxy, waited.run);
       }
     }
-    while (const auto id = daemon.lane.take_next()) {
-      const auto run = daemon.waiting[*id].run;
-      daemon.waiting.erase(*id);
-      const auto held = daemon.ledger.judge(run.digest, this->now);
+    while (const auto id = proxy.isolation.take_next()) {
+      const auto run = proxy.waiting[*id].run;
+      proxy.waiting.erase(*id);
+      const auto held = proxy.ledger.judge(run.digest, this->now);
       if (std::holds_alternative<barred>(held)) {
-        daemon.lane.leave(*id);
+        proxy.isolation.leave(*id);
       } else {
-        this->begin(daemon, run);
+        this->begin(proxy, run);
       }
     }
   }
 
-  void end_server(simulated_daemon& daemon) {
-    const auto lost = std::exchange(daemon.running, {});
+  void crash_server(simulated_proxy& proxy) {
+    const auto lost = std::exchange(proxy.running, {});
     for (const auto& run : lost) {
-      daemon.ledger.on_lost({daemon.instance().id, run.digest, run.isolated}, this->now);
-      this->ends_of[run.digest] += is_harmful(run.digest) ? 1 : 0;
-      if (is_harmful(run.digest) && this->ends_of[run.digest] == 3) {
-        this->third_end[run.digest] = this->now;
+      proxy.ledger.on_lost({proxy.instance().id, run.digest, run.isolated}, this->now);
+      this->crashes_of[run.digest] += is_harmful(run.digest) ? 1 : 0;
+      if (is_harmful(run.digest) && this->crashes_of[run.digest] == 3) {
+        this->third_crash[run.digest] = this->now;
       }
     }
-    daemon.ledger.on_server_gone(daemon.instance(), this->now);
-    const auto waiting = std::exchange(daemon.waiting, {});
-    daemon.lane = isolation_lane();
-    daemon.starts += 1;
-    daemon.back = this->now + time_to_restart;
+    proxy.ledger.on_server_gone(proxy.instance(), this->now);
+    const auto waiting = std::exchange(proxy.waiting, {});
+    proxy.isolation = isolation_queue();
+    proxy.starts += 1;
+    proxy.back = this->now + time_to_restart;
     for (const auto& run : lost) {
       if (!run.repeat) {
         this->send(run.digest, true);
@@ -265,24 +265,24 @@
     }
     this->killed = true;
     for (auto i = std::size_t(0); i < this->options.killed_at_once; ++i) {
-      this->end_server(*this->daemons[i]);
+      this->crash_server(*this->proxies[i]);
     }
   }
 
-  void pass_word() {
-    if (!this->options.tells) {
+  void pass_reports() {
+    if (!this->options.reports) {
       return;
     }
-    for (auto i = std::size_t(0); i < this->daemons.size(); ++i) {
-      auto& daemon = *this->daemons[i];
+    for (auto i = std::size_t(0); i < this->proxies.size(); ++i) {
+      auto& proxy = *this->proxies[i];
       auto& member = this->registries[i % members];
-      for (const auto& evidence : daemon.ledger.take_untold()) {
+      for (const auto& evidence : proxy.ledger.take_unreported()) {
         member.offer(evidence, this->now);
       }
-      if (this->now % poll_interval == Duration(0) && member.counter() > daemon.known) {
-        daemon.ledger.take(member.changes_since(daemon.known, "templates", this->now),
-                           daemon.instance(), this->now);
-        daemon.known = member.counter();
+      if (this->now % poll_interval == Duration(0) && member.counter() > proxy.known) {
+        proxy.ledger.take(member.changes_since(proxy.known, "templates", this->now),
+                          proxy.instance(), this->now);
+        proxy.known = member.counter();
       }
     }
     if (this->now % pull_interval == Duration(0)) {
@@ -302,11 +302,11 @@
     }
   }
 
-  auto count_barred_others() const -> std::size_t {
+  auto count_blocked_others() const -> std::size_t {
     auto count = std::size_t(0);
-    for (const auto& daemon : this->daemons) {
+    for (const auto& proxy : this->proxies) {
       for (auto request = std::uint64_t(0); request < popular_requests; ++request) {
-        const auto held = daemon->ledger.judge({2, request}, this->now);
+        const auto held = proxy->ledger.judge({2, request}, this->now);
         count += std::holds_alternative<barred>(held) ? 1 : 0;
       }
     }
@@ -316,13 +316,13 @@
   fleet_options options;
   Random random;
   TimePoint now = seconds(1000);
-  std::vector<std::unique_ptr<simulated_daemon>> daemons;
+  std::vector<std::unique_ptr<simulated_proxy>> proxies;
   evidence_registry registries[members];
   std::uint64_t pulled[members][members] = {};
-  std::map<request_digest, std::size_t> ends_of;
-  std::map<request_digest, TimePoint> third_end;
+  std::map<request_digest, std::size_t> crashes_of;
+  std::map<request_digest, TimePoint> third_crash;
   std::map<request_digest, std::size_t> late;
-  isolation_lane::request_id next_id = 1;
+  isolation_queue::request_id next_id = 1;
   bool killed = false;
   fleet_outcome outcome;
 };
@@ -337,13 +337,13 @@
   *out << tested.name;
 }
 
-auto make_options(std::size_t daemons, std::uint64_t harmful, double harmful_a_second,
-                  std::size_t most_ends) -> fleet_options {
+auto make_options(std::size_t proxies, std::uint64_t harmful, double harmful_a_second,
+                  std::size_t most_crashes) -> fleet_options {
   auto options = fleet_options();
-  options.daemons = daemons;
+  options.proxies = proxies;
   options.harmful = harmful;
   options.harmful_a_second = harmful_a_second;
-  options.most_ends = most_ends;
+  options.most_crashes = most_crashes;
   return options;
 }
 
@@ -356,8 +356,8 @@
   for (auto seed = std::uint64_t(1); seed <= seeds; ++seed) {
     const auto outcome = simulated_fleet(GetParam().options, seed).play(length);
     EXPECT_LE(outcome.late_sends, 3U) << "seed " << seed;
-    EXPECT_LE(outcome.ends, GetParam().options.most_ends) << "seed " << seed;
-    EXPECT_EQ(outcome.barred_others, 0U) << "seed " << seed;
+    EXPECT_LE(outcome.crashes, GetParam().options.most_crashes) << "seed " << seed;
+    EXPECT_EQ(outcome.blocked_others, 0U) << "seed " << seed;
     EXPECT_LE(outcome.others_refused * 500, outcome.others) << "seed " << seed;
   }
 }
@@ -370,20 +370,20 @@
                     fleet_case{"several_harmful_requests", make_options(60, 3, 6, 18)}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// The same without a word between daemons: each has to find out by itself.
-TEST(crash_fleet, of_daemons_that_hear_nothing_runs_it_again_and_again) {
+// The same without a word between proxies: each has to find out by itself.
+TEST(crash_fleet, of_proxies_that_hear_nothing_runs_it_again_and_again) {
   auto options = make_options(200, 1, 4, 0);
-  options.tells = false;
+  options.reports = false;
   EXPECT_GT(simulated_fleet(options, 1).play(length).late_sends, 30U);
 }
 
 // Servers that end for another reason, all with the popular requests under way.
-TEST(crash_fleet, bars_nothing_that_was_under_way_at_the_ends_of_half_of_the_servers) {
+TEST(crash_fleet, blocks_nothing_that_was_under_way_at_the_crashes_of_half_of_the_servers) {
   for (auto seed = std::uint64_t(1); seed <= seeds; ++seed) {
     auto options = make_options(60, 1, 0, 0);
     options.killed_at_once = 30;
     const auto outcome = simulated_fleet(options, seed).play(length);
-    EXPECT_EQ(outcome.barred_others, 0U) << "seed " << seed;
+    EXPECT_EQ(outcome.blocked_others, 0U) << "seed " << seed;
     EXPECT_EQ(outcome.others_refused, 0U) << "seed " << seed;
   }
 }
--- a/tests/core/crash_evidence/crash_ledger_test.cc
+++ b/tests/core/crash_evidence/crash_ledger_test.cc
@@ -13,16 +13,16 @@
 const auto here = server_instance{"a", "templates"};
 const auto there = server_instance{"b", "templates"};
 
-class two_daemons : public testing::Test {
+class two_proxies : public testing::Test {
  protected:
   void pass_on() {
     for (auto round = 0; round < 4; ++round) {  // until nobody has anything to tell
-      this->second.take(this->first.take_untold(), there, this->now);
-      this->first.take(this->second.take_untold(), here, this->now);
+      this->second.take(this->first.take_unreported(), there, this->now);
+      this->first.take(this->second.take_unreported(), here, this->now);
     }
   }
-  void end(crash_ledger& ledger, const server_instance& server,
-           const std::vector<request_digest>& under_way) {
+  void crash(crash_ledger& ledger, const server_instance& server,
+             const std::vector<request_digest>& under_way) {
     for (const auto& digest : under_way) {
       const auto isolated = this->suspects(ledger, digest);
       ledger.on_lost({server.id, digest, isolated}, this->now);
@@ -32,7 +32,7 @@
   auto suspects(const crash_ledger& ledger, const request_digest& digest) -> bool {
     return !std::holds_alternative<unsuspected>(ledger.judge(digest, this->now));
   }
-  auto bars(const crash_ledger& ledger, const request_digest& digest) -> bool {
+  auto blocks(const crash_ledger& ledger, const request_digest& digest) -> bool {
     return std::holds_alternative<barred>(ledger.judge(digest, this->now));
   }
 
@@ -41,40 +41,40 @@
   TimePoint now = TimePoint(std::chrono::hours(10));
 };
 
-TEST_F(two_daemons, bar_what_ended_both_servers_and_clear_what_was_beside) {
-  this->end(this->first, here, {harmful, beside});
+TEST_F(two_proxies, block_what_crashed_both_servers_and_clear_what_was_beside) {
+  this->crash(this->first, here, {harmful, beside});
   this->pass_on();
   EXPECT_TRUE(this->suspects(this->second, harmful));
   EXPECT_TRUE(this->suspects(this->second, beside));
-  this->end(this->second, there, {harmful});
+  this->crash(this->second, there, {harmful});
   this->pass_on();
   for (const auto* ledger : {&this->first, &this->second}) {
-    EXPECT_TRUE(this->bars(*ledger, harmful));
+    EXPECT_TRUE(this->blocks(*ledger, harmful));
     EXPECT_FALSE(this->suspects(*ledger, beside));
   }
 }
 
-TEST_F(two_daemons, tell_each_other_by_a_repeat_before_the_record_has_come) {
-  this->end(this->first, here, {harmful, beside});
+TEST_F(two_proxies, report_to_each_other_by_a_retry_before_the_record_has_come) {
+  this->crash(this->first, here, {harmful, beside});
   this->second.on_hearsay(harmful, this->now);
-  this->end(this->second, there, {harmful, popular});
+  this->crash(this->second, there, {harmful, popular});
   this->pass_on();
-  EXPECT_TRUE(this->bars(this->first, harmful));
-  EXPECT_TRUE(this->bars(this->second, harmful));
+  EXPECT_TRUE(this->blocks(this->first, harmful));
+  EXPECT_TRUE(this->blocks(this->second, harmful));
 }
 
-TEST_F(two_daemons, suspect_nothing_that_ended_well_at_the_server_of_late) {
-  this->first.on_good_end(popular, here, this->now);
-  this->end(this->first, here, {popular, beside});
+TEST_F(two_proxies, suspect_nothing_that_succeeded_at_the_server_of_late) {
+  this->first.on_success(popular, here, this->now);
+  this->crash(this->first, here, {popular, beside});
   this->pass_on();
   EXPECT_FALSE(this->suspects(this->first, popular));
   EXPECT_FALSE(this->suspects(this->second, popular));
 }
 
-TEST_F(two_daemons, clear_for_all_what_ended_well_at_one) {
-  this->second.on_good_end(popular, there, this->now);
-  this->end(this->first, here, {popular});
-  this->end(this->first, {"a2", "templates"}, {popular});
+TEST_F(two_proxies, clear_for_all_what_succeeded_at_one) {
+  this->second.on_success(popular, there, this->now);
+  this->crash(this->first, here, {popular});
+  this->crash(this->first, {"a2", "templates"}, {popular});
   EXPECT_TRUE(this->suspects(this->first, popular));
   this->pass_on();
   EXPECT_FALSE(this->suspects(this->first, popular));
@@ -82,38 +82,38 @@
   EXPECT_EQ(this->second.cleared(), 1U);
 }
 
-// A daemon that joins is told of ends only: what was cleared since is not held against anybody.
-TEST_F(two_daemons, withdraw_what_was_cleared_from_what_a_third_is_told) {
-  this->end(this->first, here, {popular});
-  this->end(this->first, {"a2", "templates"}, {popular});
-  auto told = this->first.take_untold();
-  this->second.take(told, there, this->now);
-  this->second.on_good_end(popular, there, this->now);
-  this->first.take(this->second.take_untold(), here, this->now);
-  for (const auto& evidence : this->first.take_untold()) {
-    told.push_back(evidence);
+// A proxy that joins is reported of ends only: what was cleared since is not held against anybody.
+TEST_F(two_proxies, withdraw_what_was_cleared_from_what_a_third_receives) {
+  this->crash(this->first, here, {popular});
+  this->crash(this->first, {"a2", "templates"}, {popular});
+  auto reported = this->first.take_unreported();
+  this->second.take(reported, there, this->now);
+  this->second.on_success(popular, there, this->now);
+  this->first.take(this->second.take_unreported(), here, this->now);
+  for (const auto& evidence : this->first.take_unreported()) {
+    reported.push_back(evidence);
   }
   auto third = crash_ledger();
-  third.take(told, {"c", "templates"}, this->now + seconds(60));
+  third.take(reported, {"c", "templates"}, this->now + seconds(60));
   this->now += seconds(60);
   EXPECT_FALSE(this->suspects(third, popular));
 }
 
 TEST(trial_place, is_one_daemon_for_all_and_moves_only_when_it_is_gone) {
-  auto daemons = std::vector<std::string>();
+  auto proxies = std::vector<std::string>();
   for (auto i = 0; i < 200; ++i) {
-    daemons.push_back("10.0.0." + std::to_string(i) + ":7060");
+    proxies.push_back("10.0.0." + std::to_string(i) + ":7060");
   }
   for (auto request = std::uint64_t(1); request < 50; ++request) {
     const auto digest = request_digest{request, request};
     auto places = std::vector<std::string>();
-    for (const auto& daemon : daemons) {
-      if (is_trial_place(digest, daemon, daemons)) {
-        places.push_back(daemon);
+    for (const auto& proxy : proxies) {
+      if (is_trial_place(digest, proxy, proxies)) {
+        places.push_back(proxy);
       }
     }
     ASSERT_EQ(places.size(), 1U);
-    auto fewer = daemons;
+    auto fewer = proxies;
     fewer.erase(std::find(fewer.begin(), fewer.end(), places[0]) == fewer.begin() ? fewer.end() - 1
                                                                                   : fewer.begin());
     EXPECT_TRUE(is_trial_place(digest, places[0], fewer));
--- a/tests/core/crash_evidence/evidence_log_test.cc
+++ b/tests/core/crash_evidence/evidence_log_test.cc
@@ -21,7 +21,7 @@
   return evidence;
 }
 
-TEST(evidence_log, keeps_ends_and_what_changes_them_but_no_good_ends_alone) {
+TEST(evidence_log, keeps_crashes_and_what_changes_them_but_no_successes_alone) {
   auto log = evidence_log();
   EXPECT_FALSE(log.wants(record("a", 1, false)));
   EXPECT_TRUE(log.wants(record("a", 1, true)));
@@ -30,7 +30,7 @@
   EXPECT_TRUE(log.wants(record("a", 2, false)));  // the last of them was cleared
 }
 
-TEST(evidence_log, tells_ages_by_the_clock_of_who_asks) {
+TEST(evidence_log, gives_ages_by_the_clock_of_the_reader) {
   auto log = evidence_log();
   auto aged = record("a", 1, true);
   aged.age = seconds(3);
--- a/tests/core/crash_evidence/evidence_registry_test.cc
+++ b/tests/core/crash_evidence/evidence_registry_test.cc
@@ -16,7 +16,7 @@
   return evidence;
 }
 
-TEST(evidence_registry, gives_a_daemon_what_is_new_of_its_service) {
+TEST(evidence_registry, gives_a_proxy_what_is_new_of_its_service) {
   auto registry = evidence_registry();
   EXPECT_TRUE(registry.offer(record("a", "templates"), now));
   EXPECT_TRUE(registry.offer(record("b", "exports"), now));
@@ -39,7 +39,7 @@
   EXPECT_EQ(held[0].revision, 3U);
 }
 
-TEST(evidence_registry, tells_how_old_a_record_is_and_drops_old_ones) {
+TEST(evidence_registry, gives_the_age_of_a_record_and_drops_old_ones) {
   auto registry = evidence_registry();
   auto aged = record("a", "templates");
   aged.age = seconds(5);
--- a/tests/core/crash_evidence/evidence_session_test.cc
+++ b/tests/core/crash_evidence/evidence_session_test.cc
@@ -1,4 +1,4 @@
-// How evidence travels: from a daemon to a member, from member to member, to daemons beside servers
+// How evidence travels: from a proxy to a member, from member to member, to proxies beside servers
 // of the same service, and again when a member or a leader is lost.
 #include <gtest/gtest.h>
 
@@ -23,7 +23,7 @@
   return evidence;
 }
 
-/// Three members and some daemons in virtual time; each daemon polls whom it chooses.
+/// Three members and some proxies in virtual time; each proxy polls whom it chooses.
 class control_group : public testing::Test {
  protected:
   void SetUp() override {
@@ -54,18 +54,18 @@
     for (auto i = std::size_t(0); i < members; ++i) {
       options.seeds.push_back(this->address(i));
     }
-    options.random_seed = this->daemons.size() + 1;
-    this->daemons.push_back(std::make_unique<ProxySession>(options));
+    options.random_seed = this->proxies.size() + 1;
+    this->proxies.push_back(std::make_unique<ProxySession>(options));
     auto record = InstanceRecord();
     record.daemon_address = name;
     record.service = service;
-    this->daemons.back()->setOwnRecord(record);
-    return *this->daemons.back();
+    this->proxies.back()->setOwnRecord(record);
+    return *this->proxies.back();
   }
 
   void run(Duration time) {
     for (const auto end = this->now + time; this->now < end; this->now += step) {
-      for (auto d = std::size_t(0); d < this->daemons.size(); ++d) {
+      for (auto d = std::size_t(0); d < this->proxies.size(); ++d) {
         this->poll(d);
       }
       for (auto i = std::size_t(0); i < members; ++i) {
@@ -77,15 +77,15 @@
     }
   }
 
-  void poll(std::size_t daemon) {
-    while (const auto poll = this->daemons[daemon]->takePoll(this->now)) {
+  void poll(std::size_t proxy) {
+    while (const auto poll = this->proxies[proxy]->takePoll(this->now)) {
       const auto member = this->index_of(poll->address);
       if (this->down == member) {
-        this->daemons[daemon]->onReply(poll->poll_id, std::nullopt, this->now);
+        this->proxies[proxy]->onReply(poll->poll_id, std::nullopt, this->now);
         return;
       }
       const auto token = ++this->tokens;
-      this->polls[token] = {daemon, poll->poll_id};
+      this->polls[token] = {proxy, poll->poll_id};
       this->cores[member]->onRequest(token, poll->request, this->now);
     }
   }
@@ -127,7 +127,7 @@
     if (poll != this->polls.end()) {
       const auto asked = poll->second;
       this->polls.erase(poll);
-      this->daemons[asked.first]->onReply(asked.second, answer.reply, this->now);
+      this->proxies[asked.first]->onReply(asked.second, answer.reply, this->now);
     }
     const auto pull = this->pulls.find(answer.token);
     if (pull != this->pulls.end()) {
@@ -137,16 +137,16 @@
     }
   }
 
-  /// Their time-outs, as the driver tells them.
+  /// Their time-outs, as the driver reports them.
   void lose_polls_under_way() {
     for (const auto& [token, asked] : std::exchange(this->polls, {})) {
-      this->daemons[asked.first]->onReply(asked.second, std::nullopt, this->now);
+      this->proxies[asked.first]->onReply(asked.second, std::nullopt, this->now);
     }
   }
 
-  auto instances_told_to(ProxySession& daemon) -> std::vector<std::string> {
+  auto instances_reported_to(ProxySession& proxy) -> std::vector<std::string> {
     auto names = std::vector<std::string>();
-    for (const auto& evidence : daemon.takeEvidence()) {
+    for (const auto& evidence : proxy.takeEvidence()) {
       names.push_back(evidence.instance_id);
     }
     return names;
@@ -154,7 +154,7 @@
 
   Membership membership;
   std::unique_ptr<ControlCore> cores[members];
-  std::vector<std::unique_ptr<ProxySession>> daemons;
+  std::vector<std::unique_ptr<ProxySession>> proxies;
   std::map<ControlToken, std::pair<std::size_t, std::uint64_t>> polls;
   std::map<ControlToken, std::pair<std::size_t, std::uint64_t>> pulls;
   std::size_t down = members;  // that member stands still
@@ -163,38 +163,38 @@
   TimePoint now = seconds(1000);
 };
 
-TEST_F(control_group, takes_evidence_to_the_daemons_of_the_service_within_half_a_second) {
-  auto& teller = this->join("d1", "templates");
+TEST_F(control_group, takes_evidence_to_the_proxies_of_the_service_within_half_a_second) {
+  auto& reporter = this->join("d1", "templates");
   auto same = std::vector<ProxySession*>();
   for (auto i = 0; i < 6; ++i) {  // some of them poll other members
     same.push_back(&this->join("s" + std::to_string(i), "templates"));
   }
   auto& other = this->join("d3", "exports");
   this->run(seconds(3));
-  teller.tellEvidence(evidence_of("i-1", "templates"), this->now);
+  reporter.tellEvidence(evidence_of("i-1", "templates"), this->now);
   this->run(milliseconds(500));
-  for (auto* daemon : same) {
-    EXPECT_EQ(this->instances_told_to(*daemon), std::vector<std::string>{"i-1"});
+  for (auto* proxy : same) {
+    EXPECT_EQ(this->instances_reported_to(*proxy), std::vector<std::string>{"i-1"});
   }
-  EXPECT_TRUE(this->instances_told_to(other).empty());
-  EXPECT_TRUE(this->instances_told_to(teller).empty());
+  EXPECT_TRUE(this->instances_reported_to(other).empty());
+  EXPECT_TRUE(this->instances_reported_to(reporter).empty());
 }
 
-TEST_F(control_group, tells_a_daemon_that_joins_later) {
-  auto& teller = this->join("d1", "templates");
+TEST_F(control_group, reports_to_a_proxy_that_joins_later) {
+  auto& reporter = this->join("d1", "templates");
   this->run(seconds(3));
-  teller.tellEvidence(evidence_of("i-1", "templates"), this->now);
+  reporter.tellEvidence(evidence_of("i-1", "templates"), this->now);
   this->run(seconds(1));
   auto& late = this->join("d2", "templates");
   this->run(seconds(3));
-  EXPECT_EQ(this->instances_told_to(late), std::vector<std::string>{"i-1"});
+  EXPECT_EQ(this->instances_reported_to(late), std::vector<std::string>{"i-1"});
 }
 
-// The members hold evidence in memory: the daemons tell it again.
+// The members hold evidence in memory: the proxies tell it again.
 TEST_F(control_group, learns_it_again_after_all_members_were_restarted) {
-  auto& teller = this->join("d1", "templates");
+  auto& reporter = this->join("d1", "templates");
   this->run(seconds(3));
-  teller.tellEvidence(evidence_of("i-1", "templates"), this->now);
+  reporter.tellEvidence(evidence_of("i-1", "templates"), this->now);
   this->run(seconds(1));
   for (auto i = std::size_t(0); i < members; ++i) {
     this->start(i);
@@ -204,19 +204,19 @@
   this->run(seconds(5));
   auto& late = this->join("d2", "templates");
   this->run(seconds(3));
-  EXPECT_EQ(this->instances_told_to(late), std::vector<std::string>{"i-1"});
+  EXPECT_EQ(this->instances_reported_to(late), std::vector<std::string>{"i-1"});
 }
 
-TEST_F(control_group, takes_it_on_by_the_others_when_the_member_that_was_told_is_lost) {
-  auto& teller = this->join("d1", "templates");
+TEST_F(control_group, passes_it_on_by_the_others_when_the_member_that_received_it_is_lost) {
+  auto& reporter = this->join("d1", "templates");
   this->run(seconds(3));
-  teller.tellEvidence(evidence_of("i-1", "templates"), this->now);
+  reporter.tellEvidence(evidence_of("i-1", "templates"), this->now);
   this->run(milliseconds(400));
-  this->down = this->index_of(teller.upstream());
+  this->down = this->index_of(reporter.upstream());
   this->lose_polls_under_way();
   auto& late = this->join("d2", "templates");
   this->run(seconds(5));
-  EXPECT_EQ(this->instances_told_to(late), std::vector<std::string>{"i-1"});
+  EXPECT_EQ(this->instances_reported_to(late), std::vector<std::string>{"i-1"});
 }
 
 }  // namespace
--- a/tests/platform/crashing_requests_day_test.cc
+++ b/tests/platform/crashing_requests_day_test.cc
@@ -2,11 +2,11 @@
 //
 // What users saw: all servers of one service ended within half a second, were back after three
 // seconds, and ended again, for 43 s. The other services went on.
-// Order of events: one request ended the server that ran it; its daemon repeated it at the next
+// Order of events: one request ended the server that ran it; its proxy repeated it at the next
 // server, as after any lost connection, and the client sent it again with another id at another
-// daemon; three servers ended; each was met by the same request when it was back.
+// proxy; three servers ended; each was met by the same request when it was back.
 // Cause: the end of a server was held against the server only. Nothing knew a request again, so
-// nothing was learned from the servers that it had ended, on one daemon or on many.
+// nothing was learned from the servers that it had ended, on one proxy or on many.
 // Evidence: at each end the requests under way lost their connections within 2 ms, at 15 to 34 of
 // 133 slots in calm load; the same method, path, body and caller was under way at 15 ends in a row.
 #include <gtest/gtest.h>
@@ -40,23 +40,23 @@
                .status == 200;
   }
   /// The request is sent until it is refused without a run, twice in a row.
-  bool bar() {
+  bool block() {
     int refused = 0;
     return day_.runUntil([&] {
       const std::size_t before = crashes();
       const Answer answer = day_.send(0, request(kHarmful, "harmful-" + std::to_string(next_++)));
-      const bool barred = answer.status == 503 && !answer.retry_after.empty() &&
-                          crashes() == before && serves("/one/beside");
-      refused = barred ? refused + 1 : 0;
+      const bool blocked = answer.status == 503 && !answer.retry_after.empty() &&
+                           crashes() == before && serves("/one/beside");
+      refused = blocked ? refused + 1 : 0;
       return refused == 2;
     });
   }
 };
 
-// Each time the service is back the same request comes, with a new id and at another daemon.
-TEST_F(CrashingRequestsDay, ARequestThatEndedThreeServersIsKnownAgain) {
+// Each time the service is back the same request comes, with a new id and at another proxy.
+TEST_F(CrashingRequestsDay, ARequestThatCrashedThreeServersIsKnownAgain) {
   // Three ends prove it; the word of the third may cross as many sends, but not more.
-  constexpr std::size_t kMostEnds = 6;
+  constexpr std::size_t kMostCrashes = 6;
   constexpr int kTries = 16;
   Answer last;
   for (int number = 0; number < kTries; ++number) {
@@ -64,15 +64,15 @@
     last = day_.send(number % Deployment::kServerMachines,
                      request(kHarmful, "harmful-" + std::to_string(number)));
   }
-  RecordProperty("ends", static_cast<int>(crashes()));
-  EXPECT_LE(crashes(), kMostEnds);
+  RecordProperty("crashes", static_cast<int>(crashes()));
+  EXPECT_LE(crashes(), kMostCrashes);
   EXPECT_GE(crashes(), 1U);
   EXPECT_EQ(last.status, 503);
   EXPECT_TRUE(day_.runUntil([this] { return allServe("/one/beside"); }));
 }
 
 // Whoever was beside has the next turn at another server, one after the other, and is served.
-TEST_F(CrashingRequestsDay, WhatWasUnderWayAtOneEndIsServedByAnother) {
+TEST_F(CrashingRequestsDay, WhatWasUnderWayAtOneCrashIsServedByAnother) {
   constexpr int kClients = 1;
   constexpr std::size_t kRequests = 8;
   for (int earned = 0; earned < 80; ++earned) {  // Repeats are paid for by first sends.
@@ -96,8 +96,8 @@
 }
 
 // The refusal is true, says when it ends, and concerns nothing else.
-TEST_F(CrashingRequestsDay, ABarredRequestIsRefusedAsNotRunAndAllOthersAreServed) {
-  ASSERT_TRUE(bar());
+TEST_F(CrashingRequestsDay, ABlockedRequestIsRefusedAsNotRunAndAllOthersAreServed) {
+  ASSERT_TRUE(block());
   Request wanted = request(kHarmful, "barred");
   const std::size_t before = crashes();
   const Answer answer = day_.send(1, wanted);
@@ -113,9 +113,9 @@
   }
 }
 
-// What a daemon knows is gone with its process; the others tell it again.
-TEST_F(CrashingRequestsDay, ADaemonThatStartsAnewLearnsWhatIsBarred) {
-  ASSERT_TRUE(bar());
+// What a proxy knows is gone with its process; the others tell it again.
+TEST_F(CrashingRequestsDay, AProxyThatStartsAnewLearnsWhatIsBlocked) {
+  ASSERT_TRUE(block());
   for (const std::size_t machine : {std::size_t{0}, std::size_t{2}}) {
     day_.proxies[machine].reset();
     day_.startProxy(static_cast<int>(machine));
@@ -131,8 +131,8 @@
 }
 
 // Every process is killed at the same moment, and nobody is left to tell.
-TEST_F(CrashingRequestsDay, WhatIsBarredIsKnownAfterTheEndOfAllProcesses) {
-  ASSERT_TRUE(bar());
+TEST_F(CrashingRequestsDay, WhatIsBlockedIsKnownAfterTheCrashOfAllProcesses) {
+  ASSERT_TRUE(block());
   day_.runFor(milliseconds(500));  // The word of the last end is with the control group by then.
   day_.proxies.clear();
   day_.control.clear();
