--- a/core/crash_evidence/crash_attribution.cc
+++ b/core/crash_evidence/crash_attribution.cc
@@ -6,24 +6,32 @@
 namespace ramppond {
 namespace {
 
+// At fewer, popular requests that were merely under way could run at one server
+// only; at more, a harmful request costs the service further servers.
 constexpr auto crashes_for_trial = std::uint32_t(3);
-// One end may have any cause; a second one with nothing else to blame has not.
+// One crash may have any cause; a second one with nothing else to blame has not.
 constexpr auto crashes_to_block = std::uint32_t(2);
-// A wrong verdict costs its caller this long, a right one a server's end when
-// it is over: the longer, the more often it was confirmed.
+// A wrong block costs the caller this long, the end of a right one a server: it
+// begins short and doubles each time that a crash confirms it.
 constexpr auto shortest_block = std::chrono::duration_cast<Duration>(std::chrono::minutes(2));
 constexpr auto longest_block = std::chrono::duration_cast<Duration>(std::chrono::hours(1));
-// Servers that end at once for another reason, as with a rack that loses power.
-constexpr auto crashes_of_another_cause = std::size_t(2);
+// Further crashes at about the same time that show another cause, as with a rack
+// that loses power. One of them alone is often a second run of the same request.
+constexpr auto correlated_crashes = std::size_t(2);
+// Shorter, and the crashes of one cause would be seen apart; longer, and
+// unrelated crashes would put off a block.
 constexpr auto correlation_window = seconds(1);
-// The record of an end takes a few tenths of a second from daemon to daemon.
+// Shorter, and the record, which takes a few tenths of a second from proxy to
+// proxy, may come later; longer, and a request that only lost its connection
+// runs isolated for nothing.
 constexpr auto reported_crash_lifetime = seconds(5);
-// A request that ended well may be under way at ends that come right after, more
-// often than it ends well where it is known.
+// For as long after a success earlier and later crashes don't count. Shorter, and
+// a popular request is suspected again at each crash that comes right after;
+// longer, and one that turns harmful goes on unsuspected.
 constexpr auto clearance_lifetime = seconds(30);
-// 64 ends of a service with 128 requests under way each.
+// 64 crashes of a service with 128 requests under way each.
 constexpr auto most_suspects = std::size_t(8192);
-// Half an hour of ends and of good ends of all servers of a service.
+// Half an hour of crashes and of reports of successes of all servers of a service.
 constexpr auto most_instances = std::size_t(1024);
 
 auto contains(const std::vector<request_digest>& digests, const request_digest& digest) -> bool {
@@ -51,16 +59,9 @@
   }
   const auto former = this->remove_crash(evidence.instance_id);
   this->add_crash(evidence, now);
-  for (const auto& digest : former) {
-    const auto found = this->suspects.find(digest);
-    if (found != this->suspects.end() && found->second.crashes.size() < crashes_to_block &&
-        found->second.blocked_until) {
-      this->clear(digest, found->second, now);
-    }
-  }
+  this->clear_unlisted(former, now);
 }
 
-// A later record of an end may hold fewer requests: some have been cleared since.
 auto crash_attribution::remove_crash(const std::string& instance_id)
     -> std::vector<request_digest> {
   auto former = std::exchange(this->crashes[instance_id].under_way, {});
@@ -75,89 +76,112 @@
 }
 
 void crash_attribution::add_crash(const instance_evidence& evidence, TimePoint now) {
-  auto& ended = this->crashes[evidence.instance_id];
-  ended.when = now - evidence.age;
-  ended.under_way = evidence.under_way;
-  ended.under_way.resize(std::min(ended.under_way.size(), most_under_way));
-  ended.isolated = evidence.isolated;
-  for (const auto& digest : ended.under_way) {
+  auto& crash = this->crashes[evidence.instance_id];
+  crash.when = now - evidence.age;
+  crash.under_way = evidence.under_way;
+  crash.under_way.resize(std::min(crash.under_way.size(), most_under_way));
+  crash.isolated = evidence.isolated;
+  for (const auto& digest : crash.under_way) {
     this->suspects[digest].crashes.push_back(evidence.instance_id);
   }
-  this->blame_blocked(ended, now);
-  for (const auto& digest : ended.under_way) {
-    this->judge(digest, now);
+  this->blame_blocked(crash, now);
+  for (const auto& digest : crash.under_way) {
+    this->decide_block(digest, now);
   }
 }
 
-// What is barred and was under way all the same, since the word had not come yet, explains the end.
-void crash_attribution::blame_blocked(instance_crash& ended, TimePoint now) const {
-  for (const auto& digest : ended.under_way) {
-    const auto& s = this->suspects.at(digest);
-    if (s.blocked_until && now < *s.blocked_until) {
-      ended.blamed = digest;
+// A later record of a crash lists fewer requests when some have succeeded since: a block that rests
+// on one crash only then was wrong.
+void crash_attribution::clear_unlisted(const std::vector<request_digest>& formerly_under_way,
+                                       TimePoint now) {
+  for (const auto& digest : formerly_under_way) {
+    const auto found = this->suspects.find(digest);
+    if (found != this->suspects.end() && found->second.crashes.size() < crashes_to_block &&
+        found->second.blocked_until) {
+      this->clear(digest, found->second, now);
     }
   }
 }
 
-void crash_attribution::judge(const request_digest& digest, TimePoint now) {
+// A request that is blocked may have been under way at a server whose proxy had not heard of that.
+void crash_attribution::blame_blocked(instance_crash& crash, TimePoint now) const {
+  for (const auto& digest : crash.under_way) {
+    if (this->suspects.at(digest).is_blocked(now)) {
+      crash.blamed = digest;
+    }
+  }
+}
+
+void crash_attribution::decide_block(const request_digest& digest, TimePoint now) {
   auto& judged = this->suspects[digest];
-  const auto in_force = judged.blocked_until && now < *judged.blocked_until;
-  if (in_force || !this->is_proven(digest, judged, now)) {
-    return;
+  if (!judged.is_blocked(now) && this->is_proven(digest, judged, now)) {
+    this->block(digest, judged);
   }
+}
+
+// The block counts from the last crash, so that it ends at the same time for all proxies, whenever
+// they hear of it.
+void crash_attribution::block(const request_digest& digest, suspect& proven) {
   auto last_crash = TimePoint(0);
-  for (const auto& instance : judged.crashes) {
-    auto& ended = this->crashes.at(instance);
-    ended.blamed = ended.blamed.value_or(digest);
-    last_crash = std::max(last_crash, ended.when);
+  for (const auto& instance : proven.crashes) {
+    auto& crash = this->crashes.at(instance);
+    crash.blamed = crash.blamed.value_or(digest);
+    last_crash = std::max(last_crash, crash.when);
   }
-  judged.block_length = judged.blocked_until
-                            ? std::min<Duration>(judged.block_length * 2, longest_block)
+  proven.block_length = proven.blocked_until
+                            ? std::min<Duration>(proven.block_length * 2, longest_block)
                             : Duration(shortest_block);
-  judged.blocked_until = last_crash + judged.block_length;  // for all daemons, whenever they hear
-  this->blocks.push_back({digest, judged.crashes, judged.block_length});
+  proven.blocked_until = last_crash + proven.block_length;
+  this->blocks.push_back({digest, proven.crashes, proven.block_length});
 }
 
-// A server ended under it while it ran alone for what it had done before, and nothing else that was
-// under way there had been under way at another end. Many servers that end at once prove nothing:
-// what was under way at them had not been begun under suspicion, or, repeated after the first of
-// them, at one more of them by chance.
 auto crash_attribution::is_proven(const request_digest& digest, const suspect& judged,
                                   TimePoint now) const -> bool {
   if (this->counted_crashes(digest, judged, now) < crashes_to_block) {
     return false;
   }
-  const auto is_other_suspect = [&](const request_digest& other) {
-    const auto known = this->suspects.find(other);  // it may have been dropped
-    return other != digest && known != this->suspects.end() &&
-           this->counted_crashes(other, known->second, now) >= crashes_to_block;
-  };
   auto found = std::uint32_t(0);
   auto wanted = std::uint32_t(1);
   for (const auto& instance : judged.crashes) {
-    const auto& ended = this->crashes.at(instance);
-    const auto is_decisive =
-        !ended.blamed && this->counts(judged, ended, now) && contains(ended.isolated, digest) &&
-        std::none_of(ended.under_way.begin(), ended.under_way.end(), is_other_suspect);
-    found += is_decisive ? 1 : 0;
-    if (is_decisive && this->correlated_crashes(digest, ended) >= crashes_of_another_cause) {
+    const auto& crash = this->crashes.at(instance);
+    if (!this->is_decisive(digest, judged, crash, now)) {
+      continue;
+    }
+    found += 1;
+    // Of many servers that crash at once, one may have run this request isolated by chance: it had
+    // been sent again after the first of these crashes.
+    if (this->is_correlated(digest, crash)) {
       wanted = crashes_to_block;
     }
   }
   return found >= wanted;
 }
 
-// Ends at about the same time that neither this request nor one that is barred explains.
-auto crash_attribution::correlated_crashes(const request_digest& digest,
-                                           const instance_crash& ended) const -> std::size_t {
-  return static_cast<std::size_t>(
-      std::count_if(this->crashes.begin(), this->crashes.end(), [&](const auto& entry) {
-        const auto& other = entry.second;
-        const auto apart =
-            other.when > ended.when ? other.when - ended.when : ended.when - other.when;
-        return !other.under_way.empty() && !other.blamed && apart < correlation_window &&
-               !contains(other.under_way, digest);
-      }));
+// The server crashed while this was the only suspected request that it ran, and nothing else that
+// was under way had been under way at two crashes.
+auto crash_attribution::is_decisive(const request_digest& digest, const suspect& judged,
+                                    const instance_crash& crash, TimePoint now) const -> bool {
+  const auto is_other_suspect = [&](const request_digest& other) {
+    const auto known = this->suspects.find(other);  // it may have been dropped
+    return other != digest && known != this->suspects.end() &&
+           this->counted_crashes(other, known->second, now) >= crashes_to_block;
+  };
+  return !crash.blamed && this->counts(judged, crash, now) && contains(crash.isolated, digest) &&
+         std::none_of(crash.under_way.begin(), crash.under_way.end(), is_other_suspect);
+}
+
+// Whether other servers crashed at about the same time with neither this request nor a blocked one
+// under way.
+auto crash_attribution::is_correlated(const request_digest& digest,
+                                      const instance_crash& crash) const -> bool {
+  const auto is_beside = [&](const auto& entry) {
+    const auto& other = entry.second;
+    const auto apart = other.when > crash.when ? other.when - crash.when : crash.when - other.when;
+    return !other.under_way.empty() && !other.blamed && apart < correlation_window &&
+           !contains(other.under_way, digest);
+  };
+  const auto beside = std::count_if(this->crashes.begin(), this->crashes.end(), is_beside);
+  return static_cast<std::size_t>(beside) >= correlated_crashes;
 }
 
 void crash_attribution::on_hearsay(const request_digest& digest, TimePoint now) {
@@ -182,7 +206,7 @@
   return true;
 }
 
-// Whatever it was blamed for is open again.
+// With a block goes what it explained: those crashes count against the others again.
 void crash_attribution::clear(const request_digest& digest, suspect& cleared, TimePoint now) {
   cleared.cleared = now;
   cleared.reported_crash.reset();
@@ -191,30 +215,30 @@
   }
   this->withdrawn_count += 1;
   cleared.blocked_until.reset();
-  for (auto& [instance, ended] : this->crashes) {
-    ended.blamed = ended.blamed == digest ? std::nullopt : ended.blamed;
+  for (auto& [instance, crash] : this->crashes) {
+    crash.blamed = crash.blamed == digest ? std::nullopt : crash.blamed;
   }
 }
 
-// An end that a good end followed, or went shortly before, says nothing of the request.
-auto crash_attribution::counts(const suspect& judged, const instance_crash& ended,
+// A crash that a success followed, or went shortly before, says nothing of the request.
+auto crash_attribution::counts(const suspect& judged, const instance_crash& crash,
                                TimePoint now) const -> bool {
-  const auto is_cleared = judged.cleared && ended.when <= *judged.cleared + clearance_lifetime;
-  return !is_cleared && now - ended.when < evidence_lifetime;
+  const auto is_cleared = judged.cleared && crash.when <= *judged.cleared + clearance_lifetime;
+  return !is_cleared && now - crash.when < evidence_lifetime;
 }
 
 // Without those that another request explains.
 auto crash_attribution::counted_crashes(const request_digest& digest, const suspect& judged,
                                         TimePoint now) const -> std::uint32_t {
-  auto held = std::uint32_t(0);
+  auto counted = std::uint32_t(0);
   for (const auto& instance : judged.crashes) {
     const auto found = this->crashes.find(instance);
-    const auto is_held = found != this->crashes.end() &&
-                         found->second.blamed.value_or(digest) == digest &&
-                         this->counts(judged, found->second, now);
-    held += is_held ? 1 : 0;
+    const auto is_counted = found != this->crashes.end() &&
+                            found->second.blamed.value_or(digest) == digest &&
+                            this->counts(judged, found->second, now);
+    counted += is_counted ? 1 : 0;
   }
-  return held;
+  return counted;
 }
 
 auto crash_attribution::suspicion_of(const request_digest& digest, TimePoint now) const
@@ -225,58 +249,62 @@
   }
   const auto& s = found->second;
   if (s.blocked_until) {
-    return now < *s.blocked_until ? standing(barred{*s.blocked_until}) : standing(on_trial{});
+    return s.is_blocked(now) ? standing(barred{*s.blocked_until}) : standing(on_trial{});
   }
-  const auto held = this->counted_crashes(digest, s, now);
-  if (held >= crashes_for_trial) {
+  const auto counted = this->counted_crashes(digest, s, now);
+  if (counted >= crashes_for_trial) {
     return on_trial{};
   }
-  const auto heard =
+  const auto is_reported =
       s.crashes.empty() && s.reported_crash && now - *s.reported_crash < reported_crash_lifetime;
-  if (held == 0 && !heard) {
+  if (counted == 0 && !is_reported) {
     return unsuspected{};
   }
-  return suspected{std::max(held, std::uint32_t(1))};
+  return suspected{std::max(counted, std::uint32_t(1))};
 }
 
 auto crash_attribution::take_blocks() -> std::vector<block_decision> {
   return std::exchange(this->blocks, {});
 }
 
-// An end and the requests that were under way at it name each other: both sides are dropped.
+// A crash and the requests that were under way at it name each other: both sides are dropped.
 void crash_attribution::drop_crash(const std::string& instance_id) {
   this->remove_crash(instance_id);
   this->crashes.erase(instance_id);
 }
 
-// Of ends, those that have aged and then the oldest go.
 void crash_attribution::make_room(TimePoint now) {
   if (this->crashes.size() >= most_instances) {
-    auto oldest = std::vector<std::pair<TimePoint, std::string>>();
-    for (const auto& [instance, ended] : this->crashes) {
-      oldest.emplace_back(ended.when, instance);
-    }
-    std::sort(oldest.begin(), oldest.end());
-    for (auto i = std::size_t(0); i < oldest.size(); ++i) {
-      const auto has_aged = now - oldest[i].first >= evidence_lifetime;
-      if (has_aged || i < most_instances / 2) {
-        this->drop_crash(oldest[i].second);
-      }
-    }
+    this->drop_crashes(now);
   }
   if (this->suspects.size() >= most_suspects) {
     this->drop_suspects(now);
   }
 }
 
-// What was under way at the fewest ends goes first. Bars stay: a caller with many identities must
-// not be able to push them out.
+// The older half goes, and all that no longer count.
+void crash_attribution::drop_crashes(TimePoint now) {
+  auto oldest = std::vector<std::pair<TimePoint, std::string>>();
+  for (const auto& [instance, crash] : this->crashes) {
+    oldest.emplace_back(crash.when, instance);
+  }
+  std::sort(oldest.begin(), oldest.end());
+  for (auto i = std::size_t(0); i < oldest.size(); ++i) {
+    const auto has_aged = now - oldest[i].first >= evidence_lifetime;
+    if (has_aged || i < most_instances / 2) {
+      this->drop_crash(oldest[i].second);
+    }
+  }
+}
+
+// What was under way at the fewest crashes goes first. Blocks stay: a caller with many identities
+// must not be able to push them out.
 void crash_attribution::drop_suspects(TimePoint now) {
   for (auto least = std::uint32_t(1);
        least <= crashes_for_trial + 1 && this->suspects.size() > most_suspects / 2; ++least) {
     for (auto s = this->suspects.begin(); s != this->suspects.end();) {
-      const auto is_blocked = s->second.blocked_until && now < *s->second.blocked_until;
-      const auto goes = !is_blocked && this->counted_crashes(s->first, s->second, now) < least;
+      const auto goes =
+          !s->second.is_blocked(now) && this->counted_crashes(s->first, s->second, now) < least;
       s = goes ? this->suspects.erase(s) : std::next(s);
     }
   }
--- a/core/crash_evidence/crash_detector.cc
+++ b/core/crash_evidence/crash_detector.cc
@@ -5,14 +5,18 @@
 namespace ramppond {
 namespace {
 
-// The connections of a process end within 2 ms of each other (measured: 19 to
-// 34 requests); a daemon whose machine is slow reads them over a longer time.
+// Runs that were lost this long before the last one were lost in the same crash.
+// Shorter, and a proxy on a slow machine, which reads the ends of the connections
+// one after the other, misses some; longer, and requests are blamed whose
+// connections a living server had reset.
 constexpr auto crash_window = milliseconds(200);
-// A server that was left goes on for as long as it takes to read of it.
+// A server goes on with an abandoned request until it reads of that. Shorter, and
+// a harmful request with a short deadline is never named; longer, and innocent
+// ones are.
 constexpr auto abandoned_window = milliseconds(500);
-// Another instance may report itself from the address this much later.
+// Another instance may report itself from the address this long after the loss.
 constexpr auto loss_lifetime = seconds(30);
-// As many as a server may be at work on, and some that were left.
+// As many as a server may be at work on, and some that were abandoned.
 constexpr auto most_runs = std::size_t(1024);
 
 void make_set(std::vector<request_digest>& digests) {
@@ -48,33 +52,38 @@
                      [](const auto& r) { return !r.abandoned; });
 }
 
-auto crash_detector::on_gone(const std::string& instance_id, TimePoint now)
-    -> std::optional<crashed_server> {
-  auto lost_last = std::optional<TimePoint>();
+auto crash_detector::last_loss(const std::string& instance_id, TimePoint now) const
+    -> std::optional<TimePoint> {
+  auto last = std::optional<TimePoint>();
   for (const auto& r : this->runs) {
     const auto counts =
         !r.abandoned && r.run.instance_id == instance_id && now - r.when < loss_lifetime;
-    lost_last = counts ? std::optional(r.when) : lost_last;
+    last = counts ? std::optional(r.when) : last;
   }
-  if (!lost_last) {
+  return last;
+}
+
+auto crash_detector::on_gone(const std::string& instance_id, TimePoint now)
+    -> std::optional<crashed_server> {
+  const auto crashed_at = this->last_loss(instance_id, now);
+  if (!crashed_at) {
     return std::nullopt;
   }
-  auto ended = crashed_server{instance_id, {}, {}};
+  auto crashed = crashed_server{instance_id, {}, {}};
   for (const auto& r : this->runs) {
-    const auto since =
-        *lost_last - (r.abandoned ? Duration(abandoned_window) : Duration(crash_window));
-    if (r.run.instance_id != instance_id || r.when < since) {
+    const auto window = r.abandoned ? Duration(abandoned_window) : Duration(crash_window);
+    if (r.run.instance_id != instance_id || r.when < *crashed_at - window) {
       continue;
     }
-    ended.under_way.push_back(r.run.digest);
+    crashed.under_way.push_back(r.run.digest);
     if (r.run.isolated) {
-      ended.isolated.push_back(r.run.digest);
+      crashed.isolated.push_back(r.run.digest);
     }
   }
   this->runs.clear();
-  make_set(ended.under_way);
-  make_set(ended.isolated);
-  return ended;
+  make_set(crashed.under_way);
+  make_set(crashed.isolated);
+  return crashed;
 }
 
 }  // namespace ramppond
--- a/core/crash_evidence/crash_detector.h
+++ b/core/crash_evidence/crash_detector.h
@@ -1,12 +1,15 @@
-// Tells the end of a server from the loss of single connections, and which
-// requests it was at work on when it ended.
+// Detects the crash of the server beside this proxy, and which requests it was at
+// work on.
 //
-// A connection that ends without an answer says little: servers lose answers,
-// break them off and reset connections while they live. The end of a process
-// ends all its connections at once, and its address refuses new ones or another
-// instance reports itself from there. Only the daemon beside a server sees all
-// of that. A server that said that it leaves ends as planned. Pure, not thread
-// safe.
+// Owns the runs at that server whose connection was lost, or that were abandoned,
+// in the last half minute. Relies on its caller to say when a connection is lost,
+// when the server answers, and when its address refuses connections or another
+// instance reports itself from there. A planned stop is no crash: the caller asks
+// on_alive() of it in place of on_gone(). Pure, not thread safe.
+//
+// A lost connection alone proves nothing: servers that live reset connections and
+// break answers off. A crash ends all connections of the process at once, and the
+// address refuses new ones. Only the proxy on the server's machine sees all of it.
 #pragma once
 
 #include <cstddef>
@@ -20,37 +23,34 @@
 
 namespace ramppond {
 
-/// A server that ended without a word.
 struct crashed_server {
   std::string instance_id;
   std::vector<request_digest> under_way;  // sorted, each once
   std::vector<request_digest> isolated;   // likewise; see server_run
 };
 
-/// A run of a request at the server beside this daemon.
+/// A run of a request at the server beside this proxy.
 struct server_run {
   std::string instance_id;
   request_digest digest;
-  bool isolated = false;  // begun under suspicion while no other suspected one ran
+  bool isolated = false;  // begun as suspected, while no other suspected request ran there
 };
 
 class crash_detector {
  public:
-  /// The connection on which the server was at work on a request ended before
-  /// the answer did.
+  /// The connection ended before the answer did.
   void on_lost(const server_run& run, TimePoint now);
-  /// Whoever had sent the request left before the answer: the server may have
-  /// been at work on it for a moment longer.
+  /// Nobody waits for the answer any more: its caller is gone or its deadline has
+  /// passed. The server may be at work on it a little longer.
   void on_left(const server_run& run, TimePoint now);
-  /// A request that was begun at `begun` was answered, or a connection that was
-  /// opened then stands: what was lost before was lost by a server that lives.
+  /// The server lived at `begun`, since it answered a request that began then or a
+  /// connection made then stands: no run lost up to that moment was lost in a crash.
   void on_alive(TimePoint begun);
-  /// The server that runs `instance_id` has ended: its address refuses
-  /// connections and none stands, or another instance is there. Nothing if no
-  /// request was lost with it.
+  /// `instance_id` is gone: its address refuses connections and none stands, or
+  /// another instance is there. Nothing if no request was lost with it.
   auto on_gone(const std::string& instance_id, TimePoint now) -> std::optional<crashed_server>;
 
-  /// Whether requests were lost of which nobody knows yet if the server lives.
+  /// Whether runs were lost since the server was last known to live.
   [[nodiscard]] auto is_pending() const -> bool;
 
  private:
@@ -60,8 +60,10 @@
     bool abandoned = false;
   };
   void add(const lost_run& lost);
+  [[nodiscard]] auto last_loss(const std::string& instance_id, TimePoint now) const
+      -> std::optional<TimePoint>;
 
-  std::deque<lost_run> runs;
+  std::deque<lost_run> runs;  // oldest first
 };
 
 }  // namespace ramppond
--- a/core/crash_evidence/crash_ledger.cc
+++ b/core/crash_evidence/crash_ledger.cc
@@ -7,15 +7,16 @@
 namespace ramppond {
 namespace {
 
-// Of servers beside this daemon, one after the other.
+// Instances beside this proxy, one after the other. Fewer, and a server that keeps
+// crashing loses the records that name its harmful requests.
 constexpr auto most_own_records = std::size_t(16);
-// A good end is told again with later ones for as long as its first record may
-// have been replaced before it was sent.
+// A record lists the successes of this time. Shorter, and a success is lost when the
+// next record replaces the one that listed it before it was sent.
 constexpr auto success_reported_for = seconds(10);
 
 }  // namespace
 
-// A request that ended well here of late is no danger here, whatever others have seen.
+// First-hand before reported: a request that succeeded here of late is no danger here.
 auto crash_ledger::judge(const request_digest& digest, TimePoint now) const -> standing {
   return this->successes.contains(digest, now) ? standing(unsuspected{})
                                                : this->attribution.suspicion_of(digest, now);
@@ -39,19 +40,19 @@
 
 auto crash_ledger::on_server_gone(const server_instance& server, TimePoint now)
     -> std::optional<crash_report> {
-  const auto ended = this->detector.on_gone(server.id, now);
-  if (!ended) {
+  const auto crashed = this->detector.on_gone(server.id, now);
+  if (!crashed) {
     return std::nullopt;
   }
   const auto is_candidate = [&](const request_digest& digest) {
     return !this->successes.contains(digest, now);
   };
   auto report = crash_report();
-  report.under_way = ended->under_way.size();
-  std::copy_if(ended->under_way.begin(), ended->under_way.end(),
+  report.under_way = crashed->under_way.size();
+  std::copy_if(crashed->under_way.begin(), crashed->under_way.end(),
                std::back_inserter(report.candidates), is_candidate);
-  std::copy_if(ended->isolated.begin(), ended->isolated.end(), std::back_inserter(report.isolated),
-               is_candidate);
+  std::copy_if(crashed->isolated.begin(), crashed->isolated.end(),
+               std::back_inserter(report.isolated), is_candidate);
   report.candidates.resize(std::min(report.candidates.size(), most_under_way));
   auto& record = this->record_of(server);
   record.when = now;
@@ -115,7 +116,8 @@
   this->withdraw(digest, now);
 }
 
-// Whoever joins later learns of ends from their records, not of what cleared a request since.
+// A proxy that starts later learns of a crash by its record, not of the success that cleared a
+// request since: the record itself must no longer list it.
 void crash_ledger::withdraw(const request_digest& digest, TimePoint now) {
   for (auto& [instance, record] : this->own) {
     auto& listed = record.evidence.under_way;
@@ -128,9 +130,9 @@
   }
 }
 
-void crash_ledger::take(const std::vector<instance_evidence>& news, const server_instance& server,
-                        TimePoint now) {
-  for (const auto& evidence : news) {
+void crash_ledger::take(const std::vector<instance_evidence>& records,
+                        const server_instance& server, TimePoint now) {
+  for (const auto& evidence : records) {
     this->attribution.on_evidence(evidence, now);
     for (const auto& digest : evidence.under_way) {
       if (this->successes.contains(digest, now) && this->attribution.on_success(digest, now)) {
--- a/core/crash_evidence/crash_ledger.h
+++ b/core/crash_evidence/crash_ledger.h
@@ -1,9 +1,12 @@
-// What one daemon knows, finds out and tells of requests that end servers.
+// What one proxy knows of requests that crash servers: first-hand from the server
+// beside it, and reported by the proxies beside other servers of the service.
 //
-// Finds out what was under way when the server beside it ended, keeps its own
-// records, takes those of other daemons, and judges requests by all of them.
-// What it has to tell is taken by take_unreported() and sent to the control group.
-// Pure, not thread safe.
+// Owns the crash records of the instances beside this proxy, which nobody else
+// writes, and the recent successes there. Relies on its caller to send what
+// take_unreported() gives to the control group, and to hand in what comes from
+// there by take(). Joins crash_detector (what was under way at a crash),
+// recent_successes (who is innocent of it) and crash_attribution (who is to
+// blame). Pure, not thread safe.
 #pragma once
 
 #include <deque>
@@ -19,53 +22,56 @@
 
 namespace ramppond {
 
-/// An instance of the server beside a daemon.
+/// An instance of the server beside a proxy.
 struct server_instance {
-  std::string id;
+  std::string id;  // of this start of the server
   std::string service;
 };
 
-/// What was found at the end of the server beside this daemon.
+/// What was found at a crash of the server beside this proxy.
 struct crash_report {
   std::size_t under_way = 0;               // requests
-  std::vector<request_digest> candidates;  // that did not end well here of late
-  std::vector<request_digest> isolated;    // of these, begun under suspicion
+  std::vector<request_digest> candidates;  // without those that succeeded here of late
+  std::vector<request_digest> isolated;    // of the candidates; see server_run
 };
 
 class crash_ledger {
  public:
+  /// How a request may run at the server beside this proxy.
   [[nodiscard]] auto judge(const request_digest& digest, TimePoint now) const -> standing;
 
-  /// Another daemon lost the last server of this request.
+  /// Another proxy reports that a server was lost while it ran this request.
   void on_hearsay(const request_digest& digest, TimePoint now);
   /// See crash_detector.
   void on_lost(const server_run& run, TimePoint now);
   void on_left(const server_run& run, TimePoint now);
   void on_alive(TimePoint begun);
   [[nodiscard]] auto is_pending() const -> bool { return this->detector.is_pending(); }
-  /// Nothing if no request was under way.
+  /// The server is gone without a planned stop. Nothing if no request was under way.
   auto on_server_gone(const server_instance& server, TimePoint now) -> std::optional<crash_report>;
-  /// A request ended well at the server beside this daemon.
+  /// The server beside this proxy answered a request, by a success or the client's
+  /// error.
   void on_success(const request_digest& digest, const server_instance& server, TimePoint now);
 
-  /// Takes what daemons beside other servers of the service tell.
-  void take(const std::vector<instance_evidence>& news, const server_instance& server,
+  /// Takes records of proxies beside other servers of the service; `server` is the
+  /// own one.
+  void take(const std::vector<instance_evidence>& records, const server_instance& server,
             TimePoint now);
 
-  /// Records that others should know, since the last call.
+  /// Own records that are new or changed since the last call.
   auto take_unreported() -> std::vector<instance_evidence>;
   auto take_blocks() -> std::vector<block_decision> { return this->attribution.take_blocks(); }
-  /// Bars that were wrong.
+  /// Blocks so far that a success showed to be wrong.
   [[nodiscard]] auto withdrawn_blocks() const -> std::uint64_t {
     return this->attribution.withdrawn_blocks();
   }
-  /// Requests cleared for all daemons by a good end here.
+  /// Requests so far that were cleared for all proxies by a success here.
   [[nodiscard]] auto cleared() const -> std::uint64_t { return this->cleared_for_all; }
 
  private:
   struct own_record {
     instance_evidence evidence;
-    TimePoint when{0};  // of the end, or of the last change while it runs
+    TimePoint when{0};  // of the crash, or of the last reported success
   };
   struct reported_success {
     request_digest digest;
--- a/core/crash_evidence/evidence_log.cc
+++ b/core/crash_evidence/evidence_log.cc
@@ -5,8 +5,8 @@
 namespace ramppond {
 namespace {
 
-// Half an hour of ends at 500 a day is 10; a storm of them keeps the newest. 4 KB
-// each at the most, 1 MB in a snapshot.
+// Fewer, and a burst of crashes pushes out the records that a block rests on; at
+// 4 KB each at the most these make 1 MB of a snapshot. The newest are kept.
 constexpr auto most_kept = std::size_t(256);
 
 auto age_at(const dated_evidence& dated, std::int64_t clock_ms) -> Duration {
--- a/core/crash_evidence/evidence_log.h
+++ b/core/crash_evidence/evidence_log.h
@@ -1,8 +1,10 @@
-// The evidence that the control group keeps on disk: what ended servers is still
-// known after all machines have lost power.
+// The crash records that the control group keeps in its replicated log, so that
+// blocks outlast a loss of power of all machines.
 //
-// Deterministic part of ControlState: a batch carries the proposing leader's
-// clock, and nothing else tells the time.
+// Part of ControlState: owns at most 256 records of the last half hour, and is
+// changed by log entries only. An entry carries the wall clock of the leader that
+// proposed it, in milliseconds; no other time counts, so all replicas are equal.
+// Not thread safe.
 #pragma once
 
 #include <cstdint>
@@ -26,7 +28,7 @@
 
 struct dated_evidence {
   instance_evidence evidence;  // its age is of no meaning
-  std::int64_t when_ms = 0;    // wall clock of a leader, less the age
+  std::int64_t when_ms = 0;    // of the last change, by a leader's wall clock
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -39,10 +41,10 @@
  public:
   void apply(const evidence_batch& batch, std::int64_t leader_clock_ms);
 
-  /// Whether a record would change anything if it were applied. Good ends alone
-  /// are not kept.
+  /// Whether a record would change anything if it were applied. One with successes
+  /// only is not kept.
   [[nodiscard]] auto wants(const instance_evidence& evidence) const -> bool;
-  /// With their age by a wall clock; none that is too old.
+  /// With their age by a wall clock; none older than evidence_lifetime.
   [[nodiscard]] auto records_at(std::int64_t clock_ms) const -> std::vector<instance_evidence>;
 
   [[nodiscard]] auto snapshot() const -> std::vector<dated_evidence>;
--- a/core/crash_evidence/evidence_registry.cc
+++ b/core/crash_evidence/evidence_registry.cc
@@ -3,10 +3,11 @@
 namespace ramppond {
 namespace {
 
-// Of one service; three ends prove a fault, and servers that end all the time
-// for another reason shall not push those three out at once.
+// Three crashes find a harmful request. Fewer records of one service, and servers
+// that crash all the time for another reason push those three out at once; more,
+// and one service takes up the room of the others.
 constexpr auto most_of_service = std::size_t(64);
-// Of all: 4 KB each at the most, 8 MB.
+// Of all services: 4 KB each at the most, 8 MB.
 constexpr auto most_records = std::size_t(2048);
 
 }  // namespace
--- a/core/crash_evidence/evidence_registry.h
+++ b/core/crash_evidence/evidence_registry.h
@@ -1,10 +1,11 @@
-// The evidence of all servers, as control members and daemons hold it: the
-// newest record of each instance, until it has aged.
+// The newest crash record of each instance, as coordinators and proxies hold it in
+// memory.
 //
-// Evidence concerns the daemons beside the servers of one service, so it is
-// handed out by service: what it costs a daemon doesn't grow with the fleet. A
-// bound on records keeps servers that end all the time from filling a member.
-// Pure, not thread safe.
+// Owns the records and the order in which they were taken, by which a reader asks
+// for what is new to it. Records are handed out by service, since they concern the
+// proxies beside the servers of one service only: their cost to a proxy doesn't
+// grow with the fleet. Bounded for a service and as a whole, so that servers that
+// crash all the time fill no coordinator. Pure, not thread safe.
 #pragma once
 
 #include <cstdint>
@@ -19,8 +20,8 @@
 
 class evidence_registry {
  public:
-  /// Takes a record that is newer than the one held for its instance, and not
-  /// too old. Returns whether it was taken.
+  /// Takes a record that is newer than the one held for its instance and younger
+  /// than evidence_lifetime. Returns whether it was taken.
   auto offer(const instance_evidence& evidence, TimePoint now) -> bool;
 
   /// Records of `service` (of all for an empty name) taken after counter() had
--- a/core/crash_evidence/instance_evidence.h
+++ b/core/crash_evidence/instance_evidence.h
@@ -1,8 +1,10 @@
-// What the daemon beside a server tells of requests that may have ended it.
+// The crash record of one instance of a server.
 //
-// One record for each instance of a server, written by that daemon alone; the
-// record with the highest revision replaces the others, in whatever order they
-// come, so any member of the control group and any daemon may pass it on.
+// Written by the proxy beside that server alone, with a higher revision at each
+// change. The highest revision replaces the others in whatever order they come, so
+// any coordinator and any proxy may pass a record on. An instance that has not
+// crashed has a record only while suspected requests succeed at it. Sent and
+// stored by field number: the numbers are never given anew.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +16,9 @@
 
 namespace ramppond {
 
-/// How long an end counts against the requests that were under way at it.
+/// How long a crash counts against the requests that were under way at it. Shorter,
+/// and a harmful request that is rarely sent is never found; longer, and innocent
+/// ones gather crashes of other causes.
 constexpr auto evidence_lifetime = std::chrono::duration_cast<Duration>(std::chrono::minutes(30));
 /// A server works on a few hundred requests at a time at most; of a longer list
 /// the first are taken.
@@ -25,13 +29,14 @@
   std::string instance_id;
   std::string service;
   std::uint64_t revision = 0;
-  Duration age{0};  // since its last change, when it was sent
-  /// Requests that the server was at work on when it ended without a word, but
-  /// for those that had ended well there of late; empty while it runs.
+  Duration age{0};  // since its last change, at the time of sending
+  /// Requests that the server was at work on when it crashed, without those that
+  /// had succeeded there of late; empty while it runs.
   std::vector<request_digest> under_way;
-  /// Those of them that were begun under suspicion, so that they ran alone.
+  /// Those of them that ran isolated: begun as suspected, with no other suspected
+  /// request at the server.
   std::vector<request_digest> isolated;
-  /// Requests under suspicion that ended well at it.
+  /// Suspected requests that succeeded at it.
   std::vector<request_digest> succeeded;
 
   template <class Visitor>
--- a/core/crash_evidence/isolation_queue.h
+++ b/core/crash_evidence/isolation_queue.h
@@ -1,10 +1,10 @@
-// Lets one suspected request at a time through to a server, so that the end of
-// the server tells which of them is to blame.
+// Lets one suspected request at a time through to a server, so that a crash of the
+// server names it.
 //
-// Most suspected requests were merely beside the one that ends servers, so none
-// of them waits here for long: a request under little suspicion that has waited
-// for its time goes on beside the others, one under heavy suspicion is refused,
-// as not run. Pure, not thread safe.
+// Owns the order of those that wait, and who runs. Relies on its caller to say when
+// a request has ended or waits no longer, and to ask for those whose time to wait
+// is over: most suspected requests are innocent and must not wait for long. Pure,
+// not thread safe.
 #pragma once
 
 #include <cstdint>
@@ -21,17 +21,15 @@
   /// Names one request; chosen by the caller, never reused.
   using request_id = std::uint64_t;
 
-  /// Whether it may go on at once; otherwise it waits, until `give_up` at the
-  /// latest.
+  /// Whether it may run at once; otherwise it waits, until `give_up` at the latest.
   auto enter(request_id id, TimePoint give_up) -> bool;
-  /// It has ended, or doesn't want to go on. One that never entered is passed
-  /// over.
+  /// It has ended or waits no longer; without effect on one that never entered.
   void leave(request_id id);
-  /// The next one that may go on, if the lane is free.
+  /// The next one that may run, if none does.
   auto take_next() -> std::optional<request_id>;
-  /// Those that have waited for their time; they are no longer here.
+  /// Takes out those whose `give_up` has come.
   auto take_expired(TimePoint now) -> std::vector<request_id>;
-  /// When take_expired() may next give something.
+  /// When take_expired() may next give something; nothing if none waits.
   [[nodiscard]] auto next_expiry() const -> std::optional<TimePoint>;
 
   [[nodiscard]] auto is_free() const -> bool { return !this->holder; }
--- a/core/crash_evidence/recent_successes.cc
+++ b/core/crash_evidence/recent_successes.cc
@@ -5,10 +5,11 @@
 namespace ramppond {
 namespace {
 
-// A request may turn harmful when the data change that it asks for: what ended
-// well longer ago than two of these proves nothing.
+// A success counts for one to two of these. Shorter, and requests that are sent
+// now and then are suspected at each crash; longer, and one that turns harmful,
+// when the data that it asks for change, crashes servers unsuspected.
 constexpr auto generation_length = seconds(15);
-// 40 bytes each: 0.7 MB in both halves.
+// 40 bytes each: 0.7 MB in both generations.
 constexpr auto most_in_generation = std::size_t(8192);
 
 }  // namespace
@@ -32,8 +33,11 @@
 
 auto recent_successes::contains(const request_digest& digest, TimePoint now) const -> bool {
   const auto age = now - this->turned;
-  const auto in_newer = age<2 * generation_length&& this->newer.count(digest)> 0;
-  return in_newer || (age<generation_length&& this->older.count(digest)> 0);
+  if (age >= 2 * generation_length) {
+    return false;
+  }
+  const auto in_older = age < generation_length && this->older.count(digest) != 0;
+  return in_older || this->newer.count(digest) != 0;
 }
 
 }  // namespace ramppond
--- a/core/crash_evidence/recent_successes.h
+++ b/core/crash_evidence/recent_successes.h
@@ -1,7 +1,9 @@
-// Which requests ended well at a server of late. A request that crashes the
-// servers that run it ends no run well, so this clears requests that were merely
-// beside it, the more often sent ones first: they are under way at most ends.
-// Pure, not thread safe.
+// Which requests succeeded of late at the server beside this proxy.
+//
+// Owns the digests of the last 15 to 30 s, bounded. A request that crashes servers
+// never succeeds, so what is listed here is innocent of a crash: the most popular
+// requests, which are under way at most crashes, are cleared by this first. Pure,
+// not thread safe.
 #pragma once
 
 #include <unordered_set>
@@ -19,7 +21,7 @@
  private:
   void turn(TimePoint now);
 
-  // Two halves: what is added goes to the newer one, the older one is dropped
+  // Two generations: what is added goes to the newer one, the older one is dropped
   // whole.
   std::unordered_set<request_digest> newer;
   std::unordered_set<request_digest> older;
--- a/core/crash_evidence/request_digest.h
+++ b/core/crash_evidence/request_digest.h
@@ -1,8 +1,10 @@
-// What makes two requests the same piece of work: method, host, path, body and
-// the caller. Each try of a client and each repeat has an id of its own, so an
-// id says nothing of that; the machine at which a request begins and the
-// service that runs there are no part of it either, since the same request may
-// come at any machine. Pure, not thread safe.
+// A digest by which a request is known again, whatever its id.
+//
+// Made of method, host, path with query, caller and the first 64 KiB of the body.
+// Each attempt and each retry of a client has an id of its own, so the id is no
+// part of it; nor are the machine at which a request begins and the service that
+// runs there, since the same request may come at any machine. Two uploads that
+// differ later only count as one. Pure, thread safe.
 #pragma once
 
 #include <cstddef>
@@ -14,8 +16,8 @@
 
 namespace ramppond {
 
-/// 128 bits of a hash that nobody can make collide (BLAKE2b): a request can't
-/// be sent for the sake of another's digest.
+/// 128 bits of BLAKE2b, which nobody can make collide: no request can be sent that
+/// gets another one blocked.
 struct request_digest {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -36,8 +38,8 @@
   }
 };
 
-/// Of a longer body this many bytes count: a request is told before all of a
-/// streamed body has come.
+/// Of a longer body this many bytes count: a streamed body leaves before all of it
+/// has come. Fewer, and uploads with the same beginning count as one.
 constexpr auto digested_body_bytes = std::size_t(65536);
 
 /// What of a request goes into its digest.
--- a/core/crash_evidence/trial_place.h
+++ b/core/crash_evidence/trial_place.h
@@ -1,7 +1,9 @@
-// At which server of a service a request on trial runs: the same one for all
-// proxies that know the same servers, without a word between them, another one
-// for another request, and another one once it is gone (rendezvous hashing).
-// Pure, thread safe.
+// Chooses the one server of a service at which a request on trial may run.
+//
+// Rendezvous hashing of the digest and the addresses of the proxies beside the
+// servers: proxies that know the same servers choose the same one without asking
+// each other, another one for another request, and another one once it is gone.
+// A further crash then costs the service one server. Pure, thread safe.
 #pragma once
 
 #include <string>
@@ -11,7 +13,8 @@
 
 namespace ramppond {
 
-/// Whether `own` of all `proxies` beside servers of the service has the trial.
+/// Whether the server beside `own` has the trial; `proxies` are those beside all
+/// servers of the service, with or without `own`.
 [[nodiscard]] auto is_trial_place(const request_digest& digest, const std::string& own,
                                   const std::vector<std::string>& proxies) -> bool;
 
--- a/daemon/proxy/crash_guard.cc
+++ b/daemon/proxy/crash_guard.cc
@@ -11,8 +11,9 @@
 namespace ramppond {
 namespace {
 
-// The connections of a process that ends are read within milliseconds; when some
-// still stand after the last of these the server lives.
+// After a crash the ends of all connections are read within milliseconds; when some
+// still stand after the last check the server lives. Fewer or sooner, and a crash
+// passes for a lost connection; later, and its report is late by as much.
 constexpr auto check_interval = milliseconds(2);
 constexpr auto most_checks = std::uint32_t(5);
 
@@ -107,14 +108,14 @@
       this->context.noteServerRefusal(this->context.server.heartbeat().incarnation());
       break;
     case probe_answer::unknown:
-      break;  // its next instance, or a later loss, tells
+      break;  // its next instance or a later loss will show it
   }
 }
 
 void crash_guard::on_server_gone(const std::string& incarnation) {
   const auto now = EventLoop::now();
   if (this->context.server.announcedEnd(incarnation)) {
-    this->ledger.on_alive(now);  // it ended as planned
+    this->ledger.on_alive(now);  // a planned stop
     return;
   }
   const auto report = this->ledger.on_server_gone({incarnation, this->server().service}, now);
@@ -131,26 +132,29 @@
   this->report_new_records();
 }
 
-void crash_guard::take(const std::vector<instance_evidence>& news) {
-  if (!news.empty()) {
-    this->ledger.take(news, this->server(), EventLoop::now());
+void crash_guard::take(const std::vector<instance_evidence>& records) {
+  if (!records.empty()) {
+    this->ledger.take(records, this->server(), EventLoop::now());
     this->report_new_records();
     this->reconsider_waiting();
   }
 }
 
-// Tells the control group of new records, and the log of new attribution.
 void crash_guard::report_new_records() {
-  const auto now = EventLoop::now();
   for (const auto& evidence : this->ledger.take_unreported()) {
     this->on_evidence(evidence);
   }
   this->context.counters.bars_withdrawn = this->ledger.withdrawn_blocks();
   this->context.counters.suspects_cleared = this->ledger.cleared();
+  this->log_blocks();
+}
+
+// A block may clear requests that wait.
+void crash_guard::log_blocks() {
   const auto blocks = this->ledger.take_blocks();
   for (const auto& block : blocks) {
     this->context.counters.requests_barred += 1;
-    logEvent(now.count(), "request_barred",
+    logEvent(EventLoop::now().count(), "request_barred",
              {{"digest", format_digest(block.digest)},
               {"instances", join(block.instances)},
               {"length_us", std::to_string(block.length.count())}});
@@ -171,7 +175,7 @@
   return false;
 }
 
-// Those that wait are told in a later turn: whoever leaves is in the middle of its own end.
+// Those that wait go on in a later turn of the loop: the caller is still ending.
 void crash_guard::leave(isolation_queue::request_id id) {
   this->isolation.leave(id);
   this->waiting.erase(id);
@@ -212,7 +216,7 @@
   this->schedule_pump();
 }
 
-// A verdict on one request may clear the others.
+// Asks anew how each request that waits may run: it may be cleared or blocked since.
 void crash_guard::reconsider_waiting() {
   const auto before = std::exchange(this->waiting, {});
   for (const auto& [id, weak] : before) {
--- a/daemon/proxy/crash_guard.h
+++ b/daemon/proxy/crash_guard.h
@@ -1,9 +1,12 @@
-// Keeps requests that end servers away from the server beside this daemon.
+// Keeps requests that crash servers away from the server beside this proxy.
 //
-// Finds out when that server ends and what was under way there, tells the
-// daemons beside the other servers of the service, and decides by what they
-// tell whether a request may run here, and how: see core/crash_evidence and
-// docs/design/0012. On the thread of the event loop.
+// Owns the ledger of crashes (the rules are listed in
+// core/crash_evidence/crash_attribution.h), the queue of suspected requests that
+// wait to run isolated, and the probe of a server whose connections are all gone.
+// Relies on the proxy to say how each request ends at the server, and to carry
+// crash records to and from the coordinator. Writes the log events server_ended
+// (a crash) and request_barred (a block), and the counters of crashes and blocks.
+// Why it works so: docs/design/0012. On the thread of the event loop.
 #pragma once
 
 #include <functional>
@@ -29,33 +32,34 @@
   crash_guard(const crash_guard&) = delete;
   auto operator=(const crash_guard&) -> crash_guard& = delete;
 
-  /// Takes what daemons beside other servers of the service tell.
-  void take(const std::vector<instance_evidence>& news);
-  /// Called with what this daemon has to tell.
+  /// Takes records of proxies beside other servers of the service.
+  void take(const std::vector<instance_evidence>& records);
+  /// Called with each own record that is new or has changed.
   std::function<void(const instance_evidence&)> on_evidence;
 
+  /// How a request may run at the server beside this proxy.
   [[nodiscard]] auto judge(const request_digest& digest) const -> standing;
-  /// Whether a request on trial may run here.
+  /// Whether a request on trial may run at this server.
   [[nodiscard]] auto has_trial(const request_digest& digest) const -> bool;
-  /// Another daemon lost the last server of this request.
+  /// Another proxy reports that a server was lost while it ran this request.
   void on_hearsay(const request_digest& digest);
 
   /// The server's connection ended before the answer to a request did.
   void on_lost(const server_run& run);
-  /// A request is not waited for any more while the server is at work on it.
+  /// Nobody waits for a request any more while the server is at work on it.
   void on_left(const server_run& run);
   /// The server answered a request that began at `begun`, by a success or a
   /// failure that is the client's if `well`.
   void on_answered(const request_digest& digest, TimePoint begun, bool well);
-  /// `incarnation` has ended: its address refuses connections and none stands,
-  /// or another instance is there.
+  /// `incarnation` is gone: its address refuses connections and none stands, or
+  /// another instance is there. A crash, if it had not announced a planned stop.
   void on_server_gone(const std::string& incarnation);
 
   /// Whether a suspected request may go on at once; otherwise its onAlone() or,
   /// at `give_up`, its onIsolationEnded() follows.
   auto enter(const std::shared_ptr<InboundRequest>& request, isolation_queue::request_id id,
              TimePoint give_up) -> bool;
-  /// It has ended, or waits no longer; one that never entered is passed over.
+  /// It has ended or waits no longer; without effect on one that never entered.
   void leave(isolation_queue::request_id id);
 
  private:
@@ -63,6 +67,7 @@
   void on_probed(probe_answer answer);
   [[nodiscard]] auto server() const -> server_instance;
   void report_new_records();
+  void log_blocks();
   void pump();
   void schedule_pump();
   void reconsider_waiting();
@@ -74,7 +79,7 @@
   std::shared_ptr<server_probe> probe;
   LoopTimer check_timer;
   LoopTimer pump_timer;
-  std::uint32_t checks = 0;  // since the last loss
+  std::uint32_t checks = 0;  // of the connections, since the last loss
 };
 
 }  // namespace ramppond
--- a/daemon/proxy/server_probe.cc
+++ b/daemon/proxy/server_probe.cc
@@ -3,8 +3,8 @@
 namespace ramppond {
 namespace {
 
-// On the machine's own address the answer comes at once; a silent one tells
-// nothing.
+// On the machine's own address the answer comes at once. Shorter, and a busy machine
+// answers too late to show a crash; longer, and a crash is reported that much later.
 constexpr auto probe_time = milliseconds(500);
 
 }  // namespace
--- a/daemon/proxy/server_probe.h
+++ b/daemon/proxy/server_probe.h
@@ -1,5 +1,8 @@
-// Asks whether anybody listens at a server's address, by a connection on which
+// Asks whether a process listens at a server's address, by one connection on which
 // nothing is sent.
+//
+// Owns that connection. Used when all connections to the server are gone, to tell a
+// crash from lost connections. On the thread of the event loop.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +15,7 @@
 enum class probe_answer : std::uint8_t {
   listens,
   refuses,
-  unknown,  // nothing came, or this process has no socket left
+  unknown,  // no answer in time, or this process has no socket left
 };
 
 class server_probe : public TcpConnection {
--- a/tests/core/crash_evidence/crash_attribution_test.cc
+++ b/tests/core/crash_evidence/crash_attribution_test.cc
@@ -113,7 +113,7 @@
   EXPECT_EQ(name_of(attribution.suspicion_of(beside, now)), "on_trial");
   attribution.on_evidence(success_at("d", beside), now);
   EXPECT_EQ(name_of(attribution.suspicion_of(beside, now)), "unsuspected");
-  // What was under way at the same moment is reported later.
+  // The record of a crash at the same moment comes later.
   attribution.on_evidence(crash_of("e", {beside}), now + seconds(1));
   EXPECT_EQ(name_of(attribution.suspicion_of(beside, now + seconds(1))), "unsuspected");
 }
@@ -182,7 +182,7 @@
   EXPECT_EQ(name_of(attribution.suspicion_of(beside, now)), "unsuspected");
 }
 
-// A caller with a new identity for each request fills nothing and pushes no bar out.
+// A caller with a new identity for each request fills nothing and pushes no block out.
 TEST(crash_attribution, is_bounded_whatever_crashes_under_whatever) {
   auto attribution = crash_attribution();
   attribution.on_evidence(crash_of("a", {harmful}), now);
@@ -200,7 +200,7 @@
   EXPECT_EQ(name_of(attribution.suspicion_of(harmful, now)), "barred");
 }
 
-// What is dropped for want of room may still be named by what stays.
+// A request that was dropped for want of room may still be listed by a crash that stays.
 TEST(crash_attribution, outlives_the_records_and_requests_that_were_dropped) {
   auto attribution = crash_attribution();
   auto next = std::uint64_t(10);
--- a/tests/core/crash_evidence/crash_fleet_test.cc
+++ b/tests/core/crash_evidence/crash_fleet_test.cc
@@ -1,6 +1,6 @@
 // Hundreds of proxies beside the servers of one service, in virtual time: some
-// requests end the servers that run them and come again at any proxy, all
-// others are served. The proxies hear of each other through three members of
+// requests crash the servers that run them and come again at any proxy, all
+// others are served. The proxies report to each other through three members of
 // the control group, a few tenths of a second late.
 #include <gtest/gtest.h>
 
@@ -40,24 +40,24 @@
   std::uint64_t harmful = 1;       // different ones
   double harmful_a_second = 4;     // tries, of all
   double others_a_second = 400;    // tries, half of them of popular requests
-  bool reports = true;             // proxies hear of each other
+  bool reports = true;             // proxies report to each other
   std::size_t killed_at_once = 0;  // for another reason, at 2 s
-  std::size_t most_crashes = 0;    // of servers: what is under way while the word travels
+  std::size_t most_crashes = 0;    // of servers: what is under way while reports travel
 };
 
 struct fleet_outcome {
   std::size_t crashes = 0;     // of servers, by requests
-  std::size_t late_sends = 0;  // the most of one request, after its third end and the word's time
-  std::size_t blocked_others = 0;  // that are barred at the end of the run, on some proxy
+  std::size_t late_sends = 0;  // the most of one request, after its third crash and report_delay
+  std::size_t blocked_others = 0;  // blocked at some proxy when the run is over
   std::size_t others = 0;
-  std::size_t others_refused = 0;  // by a bar
+  std::size_t others_refused = 0;  // by a block
 };
 
 struct run_of_request {
   request_digest digest;
   isolation_queue::request_id id = 0;
   TimePoint begun{0};
-  bool repeat = false;
+  bool retry = false;
   bool isolated = false;
 };
 
@@ -140,11 +140,11 @@
   }
 
   // To a server that is up, drawn by lot; a few are asked.
-  void send(const request_digest& digest, bool repeat) {
+  void send(const request_digest& digest, bool retry) {
     for (auto asked = 0; asked < 6; ++asked) {
       auto& proxy = *this->proxies[this->random.below(this->proxies.size())];
       if (this->up(proxy) &&
-          this->offer(proxy, {digest, this->next_id++, this->now, repeat, false})) {
+          this->offer(proxy, {digest, this->next_id++, this->now, retry, false})) {
         return;
       }
     }
@@ -152,7 +152,7 @@
 
   // Whether it is not asked elsewhere.
   auto offer(simulated_proxy& proxy, const run_of_request& run) -> bool {
-    if (run.repeat) {
+    if (run.retry) {
       proxy.ledger.on_hearsay(run.digest, this->now);
     }
     return std::visit(
@@ -250,12 +250,12 @@
     proxy.starts += 1;
     proxy.back = this->now + time_to_restart;
     for (const auto& run : lost) {
-      if (!run.repeat) {
+      if (!run.retry) {
         this->send(run.digest, true);
       }
     }
     for (const auto& [id, waited] : waiting) {
-      this->send(waited.run.digest, waited.run.repeat);
+      this->send(waited.run.digest, waited.run.retry);
     }
   }
 
@@ -370,14 +370,14 @@
                     fleet_case{"several_harmful_requests", make_options(60, 3, 6, 18)}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// The same without a word between proxies: each has to find out by itself.
+// The same without reports between proxies: each has to find out by itself.
 TEST(crash_fleet, of_proxies_that_hear_nothing_runs_it_again_and_again) {
   auto options = make_options(200, 1, 4, 0);
   options.reports = false;
   EXPECT_GT(simulated_fleet(options, 1).play(length).late_sends, 30U);
 }
 
-// Servers that end for another reason, all with the popular requests under way.
+// Servers that crash for another reason, all with the popular requests under way.
 TEST(crash_fleet, blocks_nothing_that_was_under_way_at_the_crashes_of_half_of_the_servers) {
   for (auto seed = std::uint64_t(1); seed <= seeds; ++seed) {
     auto options = make_options(60, 1, 0, 0);
--- a/tests/core/crash_evidence/crash_ledger_test.cc
+++ b/tests/core/crash_evidence/crash_ledger_test.cc
@@ -16,7 +16,7 @@
 class two_proxies : public testing::Test {
  protected:
   void pass_on() {
-    for (auto round = 0; round < 4; ++round) {  // until nobody has anything to tell
+    for (auto round = 0; round < 4; ++round) {  // until nobody has anything to report
       this->second.take(this->first.take_unreported(), there, this->now);
       this->first.take(this->second.take_unreported(), here, this->now);
     }
@@ -82,7 +82,8 @@
   EXPECT_EQ(this->second.cleared(), 1U);
 }
 
-// A proxy that joins is reported of ends only: what was cleared since is not held against anybody.
+// A proxy that joins receives records of crashes only: what was cleared since is not held against
+// anybody.
 TEST_F(two_proxies, withdraw_what_was_cleared_from_what_a_third_receives) {
   this->crash(this->first, here, {popular});
   this->crash(this->first, {"a2", "templates"}, {popular});
--- a/tests/core/crash_evidence/evidence_session_test.cc
+++ b/tests/core/crash_evidence/evidence_session_test.cc
@@ -190,7 +190,7 @@
   EXPECT_EQ(this->instances_reported_to(late), std::vector<std::string>{"i-1"});
 }
 
-// The members hold evidence in memory: the proxies tell it again.
+// The members hold evidence in memory: the proxies report it again.
 TEST_F(control_group, learns_it_again_after_all_members_were_restarted) {
   auto& reporter = this->join("d1", "templates");
   this->run(seconds(3));
--- a/tests/platform/crashing_requests_day_test.cc
+++ b/tests/platform/crashing_requests_day_test.cc
@@ -1,14 +1,15 @@
 // Requests that crash the servers that run them, with real processes.
 //
-// What users saw: all servers of one service ended within half a second, were back after three
-// seconds, and ended again, for 43 s. The other services went on.
-// Order of events: one request ended the server that ran it; its proxy repeated it at the next
+// What users saw: all servers of one service crashed within half a second, were back after three
+// seconds, and crashed again, for 43 s. The other services went on.
+// Order of events: one request crashed the server that ran it; its proxy retried it at the next
 // server, as after any lost connection, and the client sent it again with another id at another
-// proxy; three servers ended; each was met by the same request when it was back.
-// Cause: the end of a server was held against the server only. Nothing knew a request again, so
-// nothing was learned from the servers that it had ended, on one proxy or on many.
-// Evidence: at each end the requests under way lost their connections within 2 ms, at 15 to 34 of
-// 133 slots in calm load; the same method, path, body and caller was under way at 15 ends in a row.
+// proxy; three servers crashed; each was met by the same request when it was back.
+// Cause: the crash of a server was held against the server only. Nothing knew a request again, so
+// nothing was learned from the servers that it had crashed, on one proxy or on many.
+// Evidence: at each crash the requests under way lost their connections within 2 ms, at 15 to 34 of
+// 133 slots in calm load; the same method, path, body and caller was under way at 15 crashes in a
+// row.
 #include <gtest/gtest.h>
 
 #include "tests/platform/forwarding_day.h"
@@ -55,7 +56,7 @@
 
 // Each time the service is back the same request comes, with a new id and at another proxy.
 TEST_F(CrashingRequestsDay, ARequestThatCrashedThreeServersIsKnownAgain) {
-  // Three ends prove it; the word of the third may cross as many sends, but not more.
+  // Three crashes prove it; the report of the third may cross as many sends, but not more.
   constexpr std::size_t kMostCrashes = 6;
   constexpr int kTries = 16;
   Answer last;
@@ -71,11 +72,11 @@
   EXPECT_TRUE(day_.runUntil([this] { return allServe("/one/beside"); }));
 }
 
-// Whoever was beside has the next turn at another server, one after the other, and is served.
+// Those under way beside it run isolated at another server, one after the other, and are served.
 TEST_F(CrashingRequestsDay, WhatWasUnderWayAtOneCrashIsServedByAnother) {
   constexpr int kClients = 1;
   constexpr std::size_t kRequests = 8;
-  for (int earned = 0; earned < 80; ++earned) {  // Repeats are paid for by first sends.
+  for (int earned = 0; earned < 80; ++earned) {  // Retries are paid for by first sends.
     ASSERT_EQ(day_.send(kClients, request("/one/e", "earn-" + std::to_string(earned))).status, 200);
   }
   for (const auto& server : day_.servers) {
@@ -113,7 +114,7 @@
   }
 }
 
-// What a proxy knows is gone with its process; the others tell it again.
+// What a proxy knows is gone with its process; the others report it again.
 TEST_F(CrashingRequestsDay, AProxyThatStartsAnewLearnsWhatIsBlocked) {
   ASSERT_TRUE(block());
   for (const std::size_t machine : {std::size_t{0}, std::size_t{2}}) {
@@ -130,10 +131,11 @@
   EXPECT_EQ(crashes(), before);
 }
 
-// Every process is killed at the same moment, and nobody is left to tell.
+// Every process is killed at the same moment, and nobody is left to report.
 TEST_F(CrashingRequestsDay, WhatIsBlockedIsKnownAfterTheCrashOfAllProcesses) {
   ASSERT_TRUE(block());
-  day_.runFor(milliseconds(500));  // The word of the last end is with the control group by then.
+  day_.runFor(
+      milliseconds(500));  // The record of the last crash is with the control group by then.
   day_.proxies.clear();
   day_.control.clear();
   day_.startControl();
