--- a/core/crash_evidence/crash_attribution.h
+++ b/core/crash_evidence/crash_attribution.h
@@ -82,7 +82,6 @@
   [[nodiscard]] auto withdrawn_blocks() const -> std::uint64_t { return this->withdrawn_count; }
   /// Requests known by name, suspected or not any more.
   [[nodiscard]] auto size() const -> std::size_t { return this->suspects.size(); }
-  [[nodiscard]] auto known_instances() const -> std::size_t { return this->crashes.size(); }
 
  private:
   struct suspect {
--- a/core/crash_evidence/evidence_registry.h
+++ b/core/crash_evidence/evidence_registry.h
@@ -33,7 +33,6 @@
 
   /// Grows by one with each record taken.
   [[nodiscard]] auto counter() const -> std::uint64_t { return this->taken; }
-  [[nodiscard]] auto size() const -> std::size_t { return this->records.size(); }
 
  private:
   struct held_record {
--- a/core/crash_evidence/isolation_queue.h
+++ b/core/crash_evidence/isolation_queue.h
@@ -33,7 +33,6 @@
   [[nodiscard]] auto next_expiry() const -> std::optional<TimePoint>;
 
   [[nodiscard]] auto is_free() const -> bool { return !this->holder; }
-  [[nodiscard]] auto waiting() const -> std::size_t { return this->queue.size(); }
 
  private:
   struct waiter {
--- a/tests/core/crash_evidence/crash_attribution_test.cc
+++ b/tests/core/crash_evidence/crash_attribution_test.cc
@@ -223,7 +223,35 @@
     attribution.on_evidence(success_at("quiet-" + std::to_string(instance), beside),
                             now + 2 * evidence_lifetime);
   }
-  EXPECT_LE(attribution.known_instances(), 1024U);
+  EXPECT_EQ(name_of(attribution.suspicion_of(harmful, now + 2 * evidence_lifetime)), "barred");
+}
+
+// Instances that only report successes take up the same room.
+TEST(crash_attribution, holds_1024_instances_at_most) {
+  auto attribution = crash_attribution();
+  const auto own_request = [](std::uint64_t instance) {
+    return request_digest{instance, instance};
+  };
+  const auto count_suspected = [&] {
+    auto count = std::size_t(0);
+    for (auto instance = std::uint64_t(0); instance < 5000; ++instance) {
+      const auto held = attribution.suspicion_of(own_request(instance), now);
+      count += std::holds_alternative<suspected>(held) ? 1 : 0;
+    }
+    return count;
+  };
+  for (auto instance = std::uint64_t(0); instance < 5000; ++instance) {
+    const auto name = "crashed-" + std::to_string(instance);
+    attribution.on_evidence(crash_of(name, {own_request(instance)}), now);
+    EXPECT_EQ(name_of(attribution.suspicion_of(own_request(instance), now)), "suspected");
+  }
+  EXPECT_LE(count_suspected(), 1024U);
+  EXPECT_GT(count_suspected(), 0U);
+  for (auto instance = 0; instance < 1024; ++instance) {
+    attribution.on_evidence(success_at("quiet-" + std::to_string(instance), {9999, 9999}),
+                            now + seconds(1));
+  }
+  EXPECT_EQ(count_suspected(), 0U);
 }
 
 }  // namespace
--- a/tests/core/crash_evidence/evidence_registry_test.cc
+++ b/tests/core/crash_evidence/evidence_registry_test.cc
@@ -33,7 +33,7 @@
   EXPECT_FALSE(registry.offer(record("a", "templates", 1), now));
   EXPECT_FALSE(registry.offer(record("a", "templates", 2), now));
   EXPECT_TRUE(registry.offer(record("a", "templates", 3), now));
-  EXPECT_EQ(registry.size(), 1U);
+  EXPECT_EQ(registry.changes_since(0, "", now).size(), 1U);
   const auto held = registry.changes_since(0, "templates", now);
   ASSERT_EQ(held.size(), 1U);
   EXPECT_EQ(held[0].revision, 3U);
@@ -46,7 +46,7 @@
   registry.offer(aged, now);
   EXPECT_EQ(registry.changes_since(0, "templates", now + seconds(2))[0].age, seconds(7));
   registry.offer(record("b", "exports"), now + evidence_lifetime);
-  EXPECT_EQ(registry.size(), 1U);
+  EXPECT_EQ(registry.changes_since(0, "", now + evidence_lifetime).size(), 1U);
   aged.age = evidence_lifetime;
   EXPECT_FALSE(registry.offer(aged, now));
 }
@@ -56,12 +56,12 @@
   for (auto i = 0; i < 500; ++i) {
     registry.offer(record("noisy-" + std::to_string(i), "noisy"), now);
   }
-  EXPECT_EQ(registry.size(), 64U);
+  EXPECT_EQ(registry.changes_since(0, "", now).size(), 64U);
   EXPECT_EQ(registry.changes_since(0, "noisy", now).back().instance_id, "noisy-499");
   for (auto i = 0; i < 5000; ++i) {
     registry.offer(record("i-" + std::to_string(i), "service-" + std::to_string(i)), now);
   }
-  EXPECT_EQ(registry.size(), 2048U);
+  EXPECT_EQ(registry.changes_since(0, "", now).size(), 2048U);
 }
 
 }  // namespace
--- a/tests/core/crash_evidence/isolation_queue_test.cc
+++ b/tests/core/crash_evidence/isolation_queue_test.cc
@@ -38,7 +38,10 @@
   EXPECT_FALSE(queue.enter(3, now + seconds(1)));
   EXPECT_EQ(queue.next_expiry(), now + seconds(1));
   EXPECT_EQ(queue.take_expired(now + seconds(1)), std::vector<isolation_queue::request_id>{3});
-  EXPECT_EQ(queue.waiting(), 1U);
+  queue.leave(1);
+  EXPECT_EQ(queue.take_next(), 2U);
+  queue.leave(2);
+  EXPECT_FALSE(queue.take_next());
 }
 
 TEST(isolation_queue, passes_over_what_never_entered) {
