--- a/core/crash_evidence/crash_ledger.cc
+++ b/core/crash_evidence/crash_ledger.cc
@@ -1,7 +1,6 @@
 #include "core/crash_evidence/crash_ledger.h"
 
 #include <algorithm>
-#include <iterator>
 #include <utility>
 
 namespace ramppond {
@@ -44,15 +43,10 @@
   if (!crashed) {
     return std::nullopt;
   }
-  const auto is_candidate = [&](const request_digest& digest) {
-    return !this->successes.contains(digest, now);
-  };
   auto report = crash_report();
   report.under_way = crashed->under_way.size();
-  std::copy_if(crashed->under_way.begin(), crashed->under_way.end(),
-               std::back_inserter(report.candidates), is_candidate);
-  std::copy_if(crashed->isolated.begin(), crashed->isolated.end(),
-               std::back_inserter(report.isolated), is_candidate);
+  report.candidates = this->without_successes(crashed->under_way, now);
+  report.isolated = this->without_successes(crashed->isolated, now);
   report.candidates.resize(std::min(report.candidates.size(), most_under_way));
   auto& record = this->record_of(server);
   record.when = now;
@@ -63,6 +57,15 @@
   return report;
 }
 
+auto crash_ledger::without_successes(std::vector<request_digest> digests, TimePoint now) const
+    -> std::vector<request_digest> {
+  const auto has_succeeded = [&](const request_digest& digest) {
+    return this->successes.contains(digest, now);
+  };
+  digests.erase(std::remove_if(digests.begin(), digests.end(), has_succeeded), digests.end());
+  return digests;
+}
+
 auto crash_ledger::record_of(const server_instance& server) -> own_record& {
   const auto found = this->own.find(server.id);
   if (found != this->own.end()) {
--- a/core/crash_evidence/crash_ledger.h
+++ b/core/crash_evidence/crash_ledger.h
@@ -77,6 +77,8 @@
     request_digest digest;
     TimePoint when{0};
   };
+  [[nodiscard]] auto without_successes(std::vector<request_digest> digests, TimePoint now) const
+      -> std::vector<request_digest>;
   auto record_of(const server_instance& server) -> own_record&;
   void report_record(own_record& record, TimePoint now);
   void report_success(const request_digest& digest, const server_instance& server, TimePoint now);
--- a/daemon/proxy/crash_guard.cc
+++ b/daemon/proxy/crash_guard.cc
@@ -36,7 +36,7 @@
 }  // namespace
 
 crash_guard::crash_guard(ProxyContext& context)
-    : context(context), check_timer(context.loop), pump_timer(context.loop) {}
+    : context(context), check_timer(context.loop), resume_timer(context.loop) {}
 
 crash_guard::~crash_guard() {
   if (this->probe != nullptr) {
@@ -73,9 +73,9 @@
   this->ledger.on_left(run, EventLoop::now());
 }
 
-void crash_guard::on_answered(const request_digest& digest, TimePoint begun, bool well) {
+void crash_guard::on_answered(const request_digest& digest, TimePoint begun, bool succeeded) {
   this->ledger.on_alive(begun);
-  if (well) {
+  if (succeeded) {
     this->ledger.on_success(digest, this->server(), EventLoop::now());
     this->report_new_records();
   }
@@ -171,7 +171,7 @@
     return true;
   }
   this->waiting[id] = request;
-  this->schedule_pump();
+  this->schedule_resume();
   return false;
 }
 
@@ -179,19 +179,19 @@
 void crash_guard::leave(isolation_queue::request_id id) {
   this->isolation.leave(id);
   this->waiting.erase(id);
-  this->schedule_pump();
+  this->schedule_resume();
 }
 
-void crash_guard::schedule_pump() {
+void crash_guard::schedule_resume() {
   const auto next = this->isolation.next_expiry();
   if (!next) {
     return;  // nobody waits
   }
   const auto wait = this->isolation.is_free() ? Duration(0) : *next - EventLoop::now();
-  this->pump_timer.after(std::max(wait, Duration(0)), [this] { this->pump(); });
+  this->resume_timer.after(std::max(wait, Duration(0)), [this] { this->resume_waiting(); });
 }
 
-void crash_guard::pump() {
+void crash_guard::resume_waiting() {
   const auto now = EventLoop::now();
   const auto take_waiting = [this](isolation_queue::request_id id) {
     const auto found = this->waiting.find(id);
@@ -213,7 +213,7 @@
     }
     request->onAlone();
   }
-  this->schedule_pump();
+  this->schedule_resume();
 }
 
 // Asks anew how each request that waits may run: it may be cleared or blocked since.
--- a/daemon/proxy/crash_guard.h
+++ b/daemon/proxy/crash_guard.h
@@ -49,8 +49,8 @@
   /// Nobody waits for a request any more while the server is at work on it.
   void on_left(const server_run& run);
   /// The server answered a request that began at `begun`, by a success or a
-  /// failure that is the client's if `well`.
-  void on_answered(const request_digest& digest, TimePoint begun, bool well);
+  /// failure that is the client's if `succeeded`.
+  void on_answered(const request_digest& digest, TimePoint begun, bool succeeded);
   /// `incarnation` is gone: its address refuses connections and none stands, or
   /// another instance is there. A crash, if it had not announced a planned stop.
   void on_server_gone(const std::string& incarnation);
@@ -68,8 +68,8 @@
   [[nodiscard]] auto server() const -> server_instance;
   void report_new_records();
   void log_blocks();
-  void pump();
-  void schedule_pump();
+  void resume_waiting();
+  void schedule_resume();
   void reconsider_waiting();
 
   ProxyContext& context;
@@ -78,7 +78,7 @@
   std::map<isolation_queue::request_id, std::weak_ptr<InboundRequest>> waiting;
   std::shared_ptr<server_probe> probe;
   LoopTimer check_timer;
-  LoopTimer pump_timer;
+  LoopTimer resume_timer;
   std::uint32_t checks = 0;  // of the connections, since the last loss
 };
 
