--- a/daemon/proxy/crash_guard.cc
+++ b/daemon/proxy/crash_guard.cc
@@ -11,8 +11,9 @@
 namespace ramppond {
 namespace {
 
-// The connections of a process that ends are read within milliseconds; when some
-// still stand after the last of these the server lives.
+// After a crash the ends of all connections are read within milliseconds; when some
+// still stand after the last check the server lives. Fewer or sooner, and a crash
+// passes for a lost connection; later, and its report is late by as much.
 constexpr auto check_interval = milliseconds(2);
 constexpr auto most_checks = std::uint32_t(5);
 
@@ -35,7 +36,7 @@
 }  // namespace
 
 crash_guard::crash_guard(ProxyContext& context)
-    : context(context), check_timer(context.loop), pump_timer(context.loop) {}
+    : context(context), check_timer(context.loop), resume_timer(context.loop) {}
 
 crash_guard::~crash_guard() {
   if (this->probe != nullptr) {
@@ -72,11 +73,11 @@
   this->ledger.on_left(run, EventLoop::now());
 }
 
-void crash_guard::on_answered(const request_digest& digest, TimePoint begun, bool well) {
+void crash_guard::on_answered(const request_digest& digest, TimePoint begun, bool succeeded) {
   this->ledger.on_alive(begun);
-  if (well) {
-    this->ledger.on_good_end(digest, this->server(), EventLoop::now());
-    this->tell_news();
+  if (succeeded) {
+    this->ledger.on_success(digest, this->server(), EventLoop::now());
+    this->report_new_records();
   }
 }
 
@@ -107,14 +108,14 @@
       this->context.noteServerRefusal(this->context.server.heartbeat().incarnation());
       break;
     case probe_answer::unknown:
-      break;  // its next instance, or a later loss, tells
+      break;  // its next instance or a later loss will show it
   }
 }
 
 void crash_guard::on_server_gone(const std::string& incarnation) {
   const auto now = EventLoop::now();
   if (this->context.server.announcedEnd(incarnation)) {
-    this->ledger.on_alive(now);  // it ended as planned
+    this->ledger.on_alive(now);  // a planned stop
     return;
   }
   const auto report = this->ledger.on_server_gone({incarnation, this->server().service}, now);
@@ -128,95 +129,98 @@
             {"under_way", std::to_string(report->under_way)},
             {"digests", join(report->candidates)},
             {"isolated", join(report->isolated)}});
-  this->tell_news();
+  this->report_new_records();
 }
 
-void crash_guard::take(const std::vector<instance_evidence>& news) {
-  if (!news.empty()) {
-    this->ledger.take(news, this->server(), EventLoop::now());
-    this->tell_news();
+void crash_guard::take(const std::vector<instance_evidence>& records) {
+  if (!records.empty()) {
+    this->ledger.take(records, this->server(), EventLoop::now());
+    this->report_new_records();
     this->reconsider_waiting();
   }
 }
 
-// Tells the control group of new records, and the log of new verdicts.
-void crash_guard::tell_news() {
-  const auto now = EventLoop::now();
-  for (const auto& evidence : this->ledger.take_untold()) {
+void crash_guard::report_new_records() {
+  for (const auto& evidence : this->ledger.take_unreported()) {
     this->on_evidence(evidence);
   }
-  this->context.counters.bars_withdrawn = this->ledger.withdrawn();
+  this->context.counters.bars_withdrawn = this->ledger.withdrawn_blocks();
   this->context.counters.suspects_cleared = this->ledger.cleared();
-  const auto bars = this->ledger.take_bars();
-  for (const auto& bar : bars) {
+  this->log_blocks();
+}
+
+// A block may clear requests that wait.
+void crash_guard::log_blocks() {
+  const auto blocks = this->ledger.take_blocks();
+  for (const auto& block : blocks) {
     this->context.counters.requests_barred += 1;
-    logEvent(now.count(), "request_barred",
-             {{"digest", format_digest(bar.digest)},
-              {"instances", join(bar.instances)},
-              {"length_us", std::to_string(bar.length.count())}});
+    logEvent(EventLoop::now().count(), "request_barred",
+             {{"digest", format_digest(block.digest)},
+              {"instances", join(block.instances)},
+              {"length_us", std::to_string(block.length.count())}});
   }
-  if (!bars.empty()) {
+  if (!blocks.empty()) {
     this->reconsider_waiting();
   }
 }
 
 auto crash_guard::enter(const std::shared_ptr<InboundRequest>& request,
-                        isolation_lane::request_id id, TimePoint give_up) -> bool {
+                        isolation_queue::request_id id, TimePoint give_up) -> bool {
   this->context.counters.isolated += 1;
-  if (this->lane.enter(id, give_up)) {
+  if (this->isolation.enter(id, give_up)) {
     return true;
   }
   this->waiting[id] = request;
-  this->schedule_pump();
+  this->schedule_resume();
   return false;
 }
 
-// Those that wait are told in a later turn: whoever leaves is in the middle of its own end.
-void crash_guard::leave(isolation_lane::request_id id) {
-  this->lane.leave(id);
+// Those that wait go on in a later turn of the loop: the caller is still ending.
+void crash_guard::leave(isolation_queue::request_id id) {
+  this->isolation.leave(id);
   this->waiting.erase(id);
-  this->schedule_pump();
+  this->schedule_resume();
 }
 
-void crash_guard::schedule_pump() {
-  const auto next = this->lane.next_expiry();
+void crash_guard::schedule_resume() {
+  const auto next = this->isolation.next_expiry();
   if (!next) {
     return;  // nobody waits
   }
-  const auto wait = this->lane.is_free() ? Duration(0) : *next - EventLoop::now();
-  this->pump_timer.after(std::max(wait, Duration(0)), [this] { this->pump(); });
+  const auto wait = this->isolation.is_free() ? Duration(0) : *next - EventLoop::now();
+  this->resume_timer.after(std::max(wait, Duration(0)), [this] { this->resume_waiting(); });
 }
 
-void crash_guard::pump() {
+void crash_guard::resume_waiting() {
   const auto now = EventLoop::now();
-  const auto take_waiting = [this](isolation_lane::request_id id) {
+  const auto take_waiting = [this](isolation_queue::request_id id) {
     const auto found = this->waiting.find(id);
     auto request = found == this->waiting.end() ? nullptr : found->second.lock();
     this->waiting.erase(id);
     return request;
   };
-  for (const auto id : this->lane.take_expired(now)) {
+  for (const auto id : this->isolation.take_expired(now)) {
     const auto request = take_waiting(id);
     if (request != nullptr) {
       request->onIsolationEnded();
     }
   }
-  while (const auto id = this->lane.take_next()) {
+  while (const auto id = this->isolation.take_next()) {
     const auto request = take_waiting(*id);
     if (request == nullptr) {
-      this->lane.leave(*id);
+      this->isolation.leave(*id);
       continue;
     }
     request->onAlone();
   }
-  this->schedule_pump();
+  this->schedule_resume();
 }
 
-// A verdict on one request may clear the others.
+// Asks anew how each request that waits may run: it may be cleared or blocked since.
 void crash_guard::reconsider_waiting() {
   const auto before = std::exchange(this->waiting, {});
   for (const auto& [id, weak] : before) {
-    this->lane.leave(id);
+    this->isolation.leave(id);
   }
   for (const auto& [id, weak] : before) {
     const auto request = weak.lock();
