--- a/core/admission/isolation_rule.cc
+++ b/core/admission/isolation_rule.cc
@@ -15,17 +15,17 @@
 
 }  // namespace
 
-auto beginning_of(const standing& held, bool has_trial) -> beginning {
+auto beginning_of(const suspicion_state& held, bool has_trial) -> beginning {
   return std::visit(overloaded{[](const unsuspected&) { return beginning(begins_beside_others{}); },
                                [](const suspected& s) {
-                                 return beginning(begins_alone{s.ends == 1 ? suspicion::light
-                                                                           : suspicion::heavy});
+                                 return beginning(begins_alone{s.crashes == 1 ? suspicion::light
+                                                                              : suspicion::heavy});
                                },
                                [&](const on_trial&) {
                                  return has_trial ? beginning(begins_alone{suspicion::heavy})
                                                   : beginning(begins_elsewhere{});
                                },
-                               [](const barred& b) { return beginning(begins_nowhere{b.until}); }},
+                               [](const blocked& b) { return beginning(begins_nowhere{b.until}); }},
                     held);
 }
 
--- a/core/admission/isolation_rule.h
+++ b/core/admission/isolation_rule.h
@@ -10,7 +10,7 @@
 #include <variant>
 
 #include "core/admission/inbound_refusal.h"
-#include "core/crash_evidence/request_verdicts.h"
+#include "core/crash_evidence/crash_attribution.h"
 #include "core/time.h"
 
 namespace ramppond {
@@ -35,7 +35,7 @@
     std::variant<begins_beside_others, begins_alone, begins_elsewhere, begins_nowhere>;
 
 /// `has_trial` is whether a request on trial would run at this server; for others it is not used.
-[[nodiscard]] auto beginning_of(const standing& held, bool has_trial) -> beginning;
+[[nodiscard]] auto beginning_of(const suspicion_state& held, bool has_trial) -> beginning;
 
 /// How long a request with `left` until its deadline waits to run alone. One whose end is held back
 /// by its sender waits no longer than its `patience`, after which the sender tries another server.
--- a/core/crash_evidence/crash_attribution.cc
+++ b/core/crash_evidence/crash_attribution.cc
@@ -184,7 +184,7 @@
   return static_cast<std::size_t>(beside) >= correlated_crashes;
 }
 
-void crash_attribution::on_hearsay(const request_digest& digest, TimePoint now) {
+void crash_attribution::on_reported_crash(const request_digest& digest, TimePoint now) {
   this->make_room(now);
   this->suspects[digest].reported_crash = now;
 }
@@ -242,14 +242,15 @@
 }
 
 auto crash_attribution::suspicion_of(const request_digest& digest, TimePoint now) const
-    -> standing {
+    -> suspicion_state {
   const auto found = this->suspects.find(digest);
   if (found == this->suspects.end()) {
     return unsuspected{};
   }
   const auto& s = found->second;
   if (s.blocked_until) {
-    return s.is_blocked(now) ? standing(barred{*s.blocked_until}) : standing(on_trial{});
+    return s.is_blocked(now) ? suspicion_state(blocked{*s.blocked_until})
+                             : suspicion_state(on_trial{});
   }
   const auto counted = this->counted_crashes(digest, s, now);
   if (counted >= crashes_for_trial) {
--- a/core/crash_evidence/crash_attribution.h
+++ b/core/crash_evidence/crash_attribution.h
@@ -44,16 +44,16 @@
 struct unsuspected {};
 /// It runs while no other suspected request runs at the server.
 struct suspected {
-  std::uint32_t ends;  // crashes held against it, at least 1
+  std::uint32_t crashes;  // crashes held against it, at least 1
 };
 /// As suspected, and at one server of the service only.
 struct on_trial {};
 /// No server runs it.
-struct barred {
+struct blocked {
   TimePoint until;
 };
 /// How a request may run by what is known of crashes.
-using standing = std::variant<unsuspected, suspected, on_trial, barred>;
+using suspicion_state = std::variant<unsuspected, suspected, on_trial, blocked>;
 
 /// A request that was found to crash servers, with the evidence.
 struct block_decision {
@@ -69,12 +69,13 @@
   void on_evidence(const instance_evidence& evidence, TimePoint now);
   /// Another proxy reports that a server was lost while it ran this request; the
   /// record of that crash may still be on its way.
-  void on_hearsay(const request_digest& digest, TimePoint now);
+  void on_reported_crash(const request_digest& digest, TimePoint now);
   /// It succeeded at the own server. Returns whether this is to be reported: it
   /// had two crashes held against it or a block, and nobody has reported it of late.
   auto on_success(const request_digest& digest, TimePoint now) -> bool;
 
-  [[nodiscard]] auto suspicion_of(const request_digest& digest, TimePoint now) const -> standing;
+  [[nodiscard]] auto suspicion_of(const request_digest& digest, TimePoint now) const
+      -> suspicion_state;
 
   /// Decisions since the last call.
   auto take_blocks() -> std::vector<block_decision>;
--- a/core/crash_evidence/crash_detector.cc
+++ b/core/crash_evidence/crash_detector.cc
@@ -37,7 +37,7 @@
   this->add({run, now, false});
 }
 
-void crash_detector::on_left(const server_run& run, TimePoint now) {
+void crash_detector::on_abandoned(const server_run& run, TimePoint now) {
   this->add({run, now, true});
 }
 
--- a/core/crash_evidence/crash_detector.h
+++ b/core/crash_evidence/crash_detector.h
@@ -42,7 +42,7 @@
   void on_lost(const server_run& run, TimePoint now);
   /// Nobody waits for the answer any more: its caller is gone or its deadline has
   /// passed. The server may be at work on it a little longer.
-  void on_left(const server_run& run, TimePoint now);
+  void on_abandoned(const server_run& run, TimePoint now);
   /// The server lived at `begun`, since it answered a request that began then or a
   /// connection made then stands: no run lost up to that moment was lost in a crash.
   void on_alive(TimePoint begun);
--- a/core/crash_evidence/crash_ledger.cc
+++ b/core/crash_evidence/crash_ledger.cc
@@ -16,21 +16,21 @@
 }  // namespace
 
 // First-hand before reported: a request that succeeded here of late is no danger here.
-auto crash_ledger::judge(const request_digest& digest, TimePoint now) const -> standing {
-  return this->successes.contains(digest, now) ? standing(unsuspected{})
+auto crash_ledger::judge(const request_digest& digest, TimePoint now) const -> suspicion_state {
+  return this->successes.contains(digest, now) ? suspicion_state(unsuspected{})
                                                : this->attribution.suspicion_of(digest, now);
 }
 
-void crash_ledger::on_hearsay(const request_digest& digest, TimePoint now) {
-  this->attribution.on_hearsay(digest, now);
+void crash_ledger::on_reported_crash(const request_digest& digest, TimePoint now) {
+  this->attribution.on_reported_crash(digest, now);
 }
 
 void crash_ledger::on_lost(const server_run& run, TimePoint now) {
   this->detector.on_lost(run, now);
 }
 
-void crash_ledger::on_left(const server_run& run, TimePoint now) {
-  this->detector.on_left(run, now);
+void crash_ledger::on_abandoned(const server_run& run, TimePoint now) {
+  this->detector.on_abandoned(run, now);
 }
 
 void crash_ledger::on_alive(TimePoint begun) {
--- a/core/crash_evidence/crash_ledger.h
+++ b/core/crash_evidence/crash_ledger.h
@@ -38,13 +38,13 @@
 class crash_ledger {
  public:
   /// How a request may run at the server beside this proxy.
-  [[nodiscard]] auto judge(const request_digest& digest, TimePoint now) const -> standing;
+  [[nodiscard]] auto judge(const request_digest& digest, TimePoint now) const -> suspicion_state;
 
   /// Another proxy reports that a server was lost while it ran this request.
-  void on_hearsay(const request_digest& digest, TimePoint now);
+  void on_reported_crash(const request_digest& digest, TimePoint now);
   /// See crash_detector.
   void on_lost(const server_run& run, TimePoint now);
-  void on_left(const server_run& run, TimePoint now);
+  void on_abandoned(const server_run& run, TimePoint now);
   void on_alive(TimePoint begun);
   [[nodiscard]] auto is_pending() const -> bool { return this->detector.is_pending(); }
   /// The server is gone without a planned stop. Nothing if no request was under way.
--- a/core/distribution/proxy_session.cc
+++ b/core/distribution/proxy_session.cc
@@ -43,7 +43,7 @@
   record_unreported_ = true;
 }
 
-void ProxySession::tellEvidence(const instance_evidence& evidence, TimePoint now) {
+void ProxySession::reportEvidence(const instance_evidence& evidence, TimePoint now) {
   evidence_unreported_ = evidence_.offer(evidence, now) || evidence_unreported_;
 }
 
--- a/core/distribution/proxy_session.h
+++ b/core/distribution/proxy_session.h
@@ -56,7 +56,7 @@
   /// The server beside this proxy changed: reported at once.
   void setOwnRecord(InstanceRecord record);
   /// Evidence of a crash of the server beside this proxy: reported at once.
-  void tellEvidence(const instance_evidence& evidence, TimePoint now);
+  void reportEvidence(const instance_evidence& evidence, TimePoint now);
   void setSeeds(const std::vector<std::string>& seeds);
 
   /// The next poll, if one is due. A poll under way is superseded when the own record changed.
--- a/daemon/proxy/crash_guard.cc
+++ b/daemon/proxy/crash_guard.cc
@@ -49,7 +49,7 @@
   return {heartbeat.incarnation(), heartbeat.service};
 }
 
-auto crash_guard::judge(const request_digest& digest) const -> standing {
+auto crash_guard::judge(const request_digest& digest) const -> suspicion_state {
   return this->ledger.judge(digest, EventLoop::now());
 }
 
@@ -59,8 +59,8 @@
                         this->context.directory.daemonsOf(service));
 }
 
-void crash_guard::on_hearsay(const request_digest& digest) {
-  this->ledger.on_hearsay(digest, EventLoop::now());
+void crash_guard::on_reported_crash(const request_digest& digest) {
+  this->ledger.on_reported_crash(digest, EventLoop::now());
 }
 
 void crash_guard::on_lost(const server_run& run) {
@@ -69,8 +69,8 @@
   this->check_timer.after(check_interval, [this] { this->check_server(); });
 }
 
-void crash_guard::on_left(const server_run& run) {
-  this->ledger.on_left(run, EventLoop::now());
+void crash_guard::on_abandoned(const server_run& run) {
+  this->ledger.on_abandoned(run, EventLoop::now());
 }
 
 void crash_guard::on_answered(const request_digest& digest, TimePoint begun, bool succeeded) {
@@ -122,8 +122,8 @@
   if (!report) {
     return;
   }
-  this->context.counters.server_ends += 1;
-  this->context.counters.ended_under_way += report->under_way;
+  this->context.counters.server_crashes += 1;
+  this->context.counters.crashed_under_way += report->under_way;
   logEvent(now.count(), "server_ended",
            {{"instance", incarnation},
             {"under_way", std::to_string(report->under_way)},
@@ -144,7 +144,7 @@
   for (const auto& evidence : this->ledger.take_unreported()) {
     this->on_evidence(evidence);
   }
-  this->context.counters.bars_withdrawn = this->ledger.withdrawn_blocks();
+  this->context.counters.blocks_withdrawn = this->ledger.withdrawn_blocks();
   this->context.counters.suspects_cleared = this->ledger.cleared();
   this->log_blocks();
 }
@@ -153,7 +153,7 @@
 void crash_guard::log_blocks() {
   const auto blocks = this->ledger.take_blocks();
   for (const auto& block : blocks) {
-    this->context.counters.requests_barred += 1;
+    this->context.counters.requests_blocked += 1;
     logEvent(EventLoop::now().count(), "request_barred",
              {{"digest", format_digest(block.digest)},
               {"instances", join(block.instances)},
@@ -202,7 +202,7 @@
   for (const auto id : this->isolation.take_expired(now)) {
     const auto request = take_waiting(id);
     if (request != nullptr) {
-      request->onIsolationEnded();
+      request->onIsolationTimeout();
     }
   }
   while (const auto id = this->isolation.take_next()) {
--- a/daemon/proxy/crash_guard.h
+++ b/daemon/proxy/crash_guard.h
@@ -38,16 +38,16 @@
   std::function<void(const instance_evidence&)> on_evidence;
 
   /// How a request may run at the server beside this proxy.
-  [[nodiscard]] auto judge(const request_digest& digest) const -> standing;
+  [[nodiscard]] auto judge(const request_digest& digest) const -> suspicion_state;
   /// Whether a request on trial may run at this server.
   [[nodiscard]] auto has_trial(const request_digest& digest) const -> bool;
   /// Another proxy reports that a server was lost while it ran this request.
-  void on_hearsay(const request_digest& digest);
+  void on_reported_crash(const request_digest& digest);
 
   /// The server's connection ended before the answer to a request did.
   void on_lost(const server_run& run);
   /// Nobody waits for a request any more while the server is at work on it.
-  void on_left(const server_run& run);
+  void on_abandoned(const server_run& run);
   /// The server answered a request that began at `begun`, by a success or a
   /// failure that is the client's if `succeeded`.
   void on_answered(const request_digest& digest, TimePoint begun, bool succeeded);
@@ -56,7 +56,7 @@
   void on_server_gone(const std::string& incarnation);
 
   /// Whether a suspected request may go on at once; otherwise its onAlone() or,
-  /// at `give_up`, its onIsolationEnded() follows.
+  /// at `give_up`, its onIsolationTimeout() follows.
   auto enter(const std::shared_ptr<InboundRequest>& request, isolation_queue::request_id id,
              TimePoint give_up) -> bool;
   /// It has ended or waits no longer; without effect on one that never entered.
--- a/daemon/proxy/forwarded_outcome.cc
+++ b/daemon/proxy/forwarded_outcome.cc
@@ -17,7 +17,7 @@
     {kOutcomeBusy, peer_outcome::busy},
     {kOutcomeFenced, peer_outcome::fenced},
     {kOutcomeElsewhere, peer_outcome::elsewhere},
-    {kOutcomeBarred, peer_outcome::blocked},
+    {kOutcomeBlocked, peer_outcome::blocked},
     {kOutcomeNotRun, peer_outcome::not_run},
     {kOutcomeUnknown, peer_outcome::unknown},
 }};
@@ -42,7 +42,7 @@
   answer.outcome = outcome_of(std::string_view(*text).substr(0, text->find(';')));
   answer.reason = *text;
   if (answer.outcome == peer_outcome::blocked) {
-    answer.blocked_for = parseMilliseconds(head.find(kPeerBarredMs));
+    answer.blocked_for = parseMilliseconds(head.find(kPeerBlockedMs));
   }
   return answer;
 }
--- a/daemon/proxy/inbound_answer.cc
+++ b/daemon/proxy/inbound_answer.cc
@@ -37,7 +37,7 @@
     case refusal_kind::elsewhere:
       return kOutcomeElsewhere;
     case refusal_kind::blocked:
-      return kOutcomeBarred;
+      return kOutcomeBlocked;
     case refusal_kind::not_run:
       return kOutcomeNotRun;
     case refusal_kind::unknown:
@@ -64,7 +64,7 @@
   addLoad(head);
   const TimePoint now = EventLoop::now();
   if (blocked_until_) {
-    head.fields.push_back({std::string(kPeerBarredMs), formatMilliseconds(*blocked_until_ - now)});
+    head.fields.push_back({std::string(kPeerBlockedMs), formatMilliseconds(*blocked_until_ - now)});
   }
   logRefusal(outcome, reason, now);
   const auto exchange = exchange_;
@@ -101,7 +101,7 @@
       context_.counters.inbound_broken += 1;
       break;
     case refusal_counter::blocked:
-      context_.counters.inbound_barred += 1;
+      context_.counters.inbound_blocked += 1;
       break;
   }
 }
@@ -176,7 +176,7 @@
 
 void InboundRequest::tellGuardOfLeaving() {
   if (digest_) {
-    context_.guard.on_left({incarnation_, *digest_, alone_});
+    context_.guard.on_abandoned({incarnation_, *digest_, alone_});
   }
 }
 
--- a/daemon/proxy/inbound_request.cc
+++ b/daemon/proxy/inbound_request.cc
@@ -47,7 +47,7 @@
   route_ = head.get(kPeerRoute);
   digest_ = parse_digest(head.get(kPeerDigest));
   if (digest_ && head.find(kPeerSuspect) != nullptr) {
-    context_.guard.on_hearsay(*digest_);
+    context_.guard.on_reported_crash(*digest_);
   }
   const auto left = parseMilliseconds(head.find(context_.api.headers().deadline_ms));
   deadline_ = received_ + left.value_or(kDefaultTimeLeft);
@@ -79,7 +79,8 @@
 }
 
 void InboundRequest::begin() {
-  const standing held = digest_ ? context_.guard.judge(*digest_) : standing(unsuspected{});
+  const suspicion_state held =
+      digest_ ? context_.guard.judge(*digest_) : suspicion_state(unsuspected{});
   const bool has_trial =
       std::holds_alternative<on_trial>(held) && context_.guard.has_trial(*digest_);
   alone_ = false;
@@ -110,7 +111,7 @@
   }
 }
 
-void InboundRequest::onIsolationEnded() {
+void InboundRequest::onIsolationTimeout() {
   if (state_ != State::kAwaitingIsolation) {
     return;
   }
--- a/daemon/proxy/inbound_request.h
+++ b/daemon/proxy/inbound_request.h
@@ -33,7 +33,7 @@
   /// No other suspected request runs at the server.
   void onAlone();
   /// It waited to run alone for as long as it may.
-  void onIsolationEnded();
+  void onIsolationTimeout();
   /// What is known of requests that crash servers has changed while it waited to run alone.
   void reconsider();
 
--- a/daemon/proxy/peer_headers.h
+++ b/daemon/proxy/peer_headers.h
@@ -38,8 +38,8 @@
 constexpr std::string_view kPeerDigest = "Ramppond-Digest";
 /// Requests: present if the connection to its last server was lost while it ran there.
 constexpr std::string_view kPeerSuspect = "Ramppond-Suspect";
-/// Answers with the outcome kOutcomeBarred: for how long, in milliseconds.
-constexpr std::string_view kPeerBarredMs = "Ramppond-Barred-Ms";
+/// Answers with the outcome kOutcomeBlocked: for how long, in milliseconds.
+constexpr std::string_view kPeerBlockedMs = "Ramppond-Barred-Ms";
 /// Requests: the name of the route.
 constexpr std::string_view kPeerRoute = "Ramppond-Route";
 /// Answers: overload at the services that requests of this route need further down, "service=level
@@ -56,7 +56,7 @@
 /// It was not handed to this server, for what is known of the request, not for want of room.
 constexpr std::string_view kOutcomeElsewhere = "elsewhere";
 /// It was not handed to the server and will not be anywhere: it ends the servers that run it.
-constexpr std::string_view kOutcomeBarred = "barred";
+constexpr std::string_view kOutcomeBlocked = "barred";
 /// The server received it and says that it did not run.
 constexpr std::string_view kOutcomeNotRun = "not_run";
 /// It may have run, and no answer can be had.
--- a/daemon/proxy/proxy_counters.h
+++ b/daemon/proxy/proxy_counters.h
@@ -42,13 +42,13 @@
   std::uint64_t server_failures = 0;
 
   // Crashes of the own server, and requests that may cause them.
-  std::uint64_t server_ends = 0;       // crashes
-  std::uint64_t ended_under_way = 0;   // requests that it was at work on then
-  std::uint64_t isolated = 0;          // suspected requests that were to run alone
-  std::uint64_t suspects_cleared = 0;  // by a good answer here, after two crashes or more
-  std::uint64_t requests_barred = 0;   // requests found to crash servers
-  std::uint64_t bars_withdrawn = 0;    // of these, found wrongly
-  std::uint64_t inbound_barred = 0;    // refused as blocked
+  std::uint64_t server_crashes = 0;     // crashes
+  std::uint64_t crashed_under_way = 0;  // requests that it was at work on then
+  std::uint64_t isolated = 0;           // suspected requests that were to run alone
+  std::uint64_t suspects_cleared = 0;   // by a good answer here, after two crashes or more
+  std::uint64_t requests_blocked = 0;   // requests found to crash servers
+  std::uint64_t blocks_withdrawn = 0;   // of these, found wrongly
+  std::uint64_t inbound_blocked = 0;    // refused as blocked
 
   // Peers.
   std::uint64_t pings = 0;
--- a/daemon/proxy/proxy_process.cc
+++ b/daemon/proxy/proxy_process.cc
@@ -98,7 +98,7 @@
   stop_.on_checked = [this](bool refuse_peers) { context_.refuse_peers = refuse_peers; };
   stop_.on_ended = [this](const stop_load& cut) { onStopped(cut); };
   context_.guard.on_evidence = [this](const instance_evidence& evidence) {
-    session_.tellEvidence(evidence, EventLoop::now());
+    session_.reportEvidence(evidence, EventLoop::now());
     poll();
   };
 }
--- a/tests/core/admission/isolation_rule_test.cc
+++ b/tests/core/admission/isolation_rule_test.cc
@@ -26,7 +26,7 @@
 
 struct beginning_case {
   const char* name;
-  standing held;
+  suspicion_state held;
   bool has_trial;
   std::string begins;
 };
@@ -50,8 +50,8 @@
                     beginning_case{"many_crashes", suspected{9}, true, "alone, heavy"},
                     beginning_case{"trial_here", on_trial{}, true, "alone, heavy"},
                     beginning_case{"trial_elsewhere", on_trial{}, false, "elsewhere"},
-                    beginning_case{"blocked", barred{seconds(7)}, false, "nowhere until 7000000"},
-                    beginning_case{"blocked_at_the_place_of_its_trial", barred{seconds(7)}, true,
+                    beginning_case{"blocked", blocked{seconds(7)}, false, "nowhere until 7000000"},
+                    beginning_case{"blocked_at_the_place_of_its_trial", blocked{seconds(7)}, true,
                                    "nowhere until 7000000"}),
     [](const auto& info) { return std::string(info.param.name); });
 
--- a/tests/core/crash_evidence/crash_attribution_test.cc
+++ b/tests/core/crash_evidence/crash_attribution_test.cc
@@ -30,7 +30,7 @@
   return evidence;
 }
 
-auto name_of(const standing& held) -> std::string {
+auto name_of(const suspicion_state& held) -> std::string {
   static constexpr const char* names[] = {"unsuspected", "suspected", "on_trial", "barred"};
   return names[held.index()];
 }
@@ -167,7 +167,7 @@
 
 TEST(crash_attribution, a_reported_crash_counts_until_the_record_can_have_come) {
   auto attribution = crash_attribution();
-  attribution.on_hearsay(harmful, now);
+  attribution.on_reported_crash(harmful, now);
   EXPECT_EQ(name_of(attribution.suspicion_of(harmful, now)), "suspected");
   EXPECT_EQ(name_of(attribution.suspicion_of(harmful, now + seconds(10))), "unsuspected");
 }
--- a/tests/core/crash_evidence/crash_detector_test.cc
+++ b/tests/core/crash_evidence/crash_detector_test.cc
@@ -46,8 +46,8 @@
 }
 
 TEST_F(watched_server, may_still_be_at_work_on_what_was_left_just_before) {
-  this->detector.on_left({"i", first, false}, this->now - seconds(2));
-  this->detector.on_left({"i", second, false}, this->now - milliseconds(400));
+  this->detector.on_abandoned({"i", first, false}, this->now - seconds(2));
+  this->detector.on_abandoned({"i", second, false}, this->now - milliseconds(400));
   EXPECT_FALSE(this->detector.is_pending());
   this->detector.on_lost({"i", third, false}, this->now);
   const auto ended = this->detector.on_gone("i", this->now + milliseconds(1));
@@ -56,7 +56,7 @@
 }
 
 TEST_F(watched_server, that_crashes_at_rest_blames_nothing) {
-  this->detector.on_left({"i", first, false}, this->now);
+  this->detector.on_abandoned({"i", first, false}, this->now);
   EXPECT_FALSE(this->detector.on_gone("i", this->now));
 }
 
--- a/tests/core/crash_evidence/crash_fleet_test.cc
+++ b/tests/core/crash_evidence/crash_fleet_test.cc
@@ -153,19 +153,19 @@
   // Whether it is not asked elsewhere.
   auto offer(simulated_proxy& proxy, const run_of_request& run) -> bool {
     if (run.retry) {
-      proxy.ledger.on_hearsay(run.digest, this->now);
+      proxy.ledger.on_reported_crash(run.digest, this->now);
     }
     return std::visit(
         overloaded{[&](const unsuspected&) { return this->begin(proxy, run); },
                    [&](const suspected& s) {
-                     const auto light = s.ends == 1;
+                     const auto light = s.crashes == 1;
                      return this->isolate(proxy, run, time_left / (light ? 4 : 2), light);
                    },
                    [&](const on_trial&) {
                      return is_trial_place(run.digest, proxy.address, this->ready_proxies()) &&
                             this->isolate(proxy, run, time_left / 2, false);
                    },
-                   [&](const barred&) {
+                   [&](const blocked&) {
                      this->outcome.others_refused += is_harmful(run.digest) ? 0 : 1;
                      return true;
                    }},
@@ -227,7 +227,7 @@
       const auto run = proxy.waiting[*id].run;
       proxy.waiting.erase(*id);
       const auto held = proxy.ledger.judge(run.digest, this->now);
-      if (std::holds_alternative<barred>(held)) {
+      if (std::holds_alternative<blocked>(held)) {
         proxy.isolation.leave(*id);
       } else {
         this->begin(proxy, run);
@@ -307,7 +307,7 @@
     for (const auto& proxy : this->proxies) {
       for (auto request = std::uint64_t(0); request < popular_requests; ++request) {
         const auto held = proxy->ledger.judge({2, request}, this->now);
-        count += std::holds_alternative<barred>(held) ? 1 : 0;
+        count += std::holds_alternative<blocked>(held) ? 1 : 0;
       }
     }
     return count;
--- a/tests/core/crash_evidence/crash_ledger_test.cc
+++ b/tests/core/crash_evidence/crash_ledger_test.cc
@@ -33,7 +33,7 @@
     return !std::holds_alternative<unsuspected>(ledger.judge(digest, this->now));
   }
   auto blocks(const crash_ledger& ledger, const request_digest& digest) -> bool {
-    return std::holds_alternative<barred>(ledger.judge(digest, this->now));
+    return std::holds_alternative<blocked>(ledger.judge(digest, this->now));
   }
 
   crash_ledger first;
@@ -56,7 +56,7 @@
 
 TEST_F(two_proxies, report_to_each_other_by_a_retry_before_the_record_has_come) {
   this->crash(this->first, here, {harmful, beside});
-  this->second.on_hearsay(harmful, this->now);
+  this->second.on_reported_crash(harmful, this->now);
   this->crash(this->second, there, {harmful, popular});
   this->pass_on();
   EXPECT_TRUE(this->blocks(this->first, harmful));
--- a/tests/core/crash_evidence/evidence_session_test.cc
+++ b/tests/core/crash_evidence/evidence_session_test.cc
@@ -171,7 +171,7 @@
   }
   auto& other = this->join("d3", "exports");
   this->run(seconds(3));
-  reporter.tellEvidence(evidence_of("i-1", "templates"), this->now);
+  reporter.reportEvidence(evidence_of("i-1", "templates"), this->now);
   this->run(milliseconds(500));
   for (auto* proxy : same) {
     EXPECT_EQ(this->instances_reported_to(*proxy), std::vector<std::string>{"i-1"});
@@ -183,7 +183,7 @@
 TEST_F(control_group, reports_to_a_proxy_that_joins_later) {
   auto& reporter = this->join("d1", "templates");
   this->run(seconds(3));
-  reporter.tellEvidence(evidence_of("i-1", "templates"), this->now);
+  reporter.reportEvidence(evidence_of("i-1", "templates"), this->now);
   this->run(seconds(1));
   auto& late = this->join("d2", "templates");
   this->run(seconds(3));
@@ -194,7 +194,7 @@
 TEST_F(control_group, learns_it_again_after_all_members_were_restarted) {
   auto& reporter = this->join("d1", "templates");
   this->run(seconds(3));
-  reporter.tellEvidence(evidence_of("i-1", "templates"), this->now);
+  reporter.reportEvidence(evidence_of("i-1", "templates"), this->now);
   this->run(seconds(1));
   for (auto i = std::size_t(0); i < members; ++i) {
     this->start(i);
@@ -210,7 +210,7 @@
 TEST_F(control_group, passes_it_on_by_the_others_when_the_member_that_received_it_is_lost) {
   auto& reporter = this->join("d1", "templates");
   this->run(seconds(3));
-  reporter.tellEvidence(evidence_of("i-1", "templates"), this->now);
+  reporter.reportEvidence(evidence_of("i-1", "templates"), this->now);
   this->run(milliseconds(400));
   this->down = this->index_of(reporter.upstream());
   this->lose_polls_under_way();
--- a/tests/daemon/proxy/proxy_counters_test.cc
+++ b/tests/daemon/proxy/proxy_counters_test.cc
@@ -18,21 +18,21 @@
 TEST(counter_fields, give_each_counter_and_gauge_under_its_name_in_order) {
   auto c = proxy_counters();
   auto number = std::uint64_t(0);
-  for (auto* counter : {&c.requests,        &c.answered,
-                        &c.refused,         &c.shed,
-                        &c.failed,          &c.no_route,
-                        &c.no_tenant,       &c.no_authority,
-                        &c.beyond_limit,    &c.limited_alone,
-                        &c.clients_gone,    &c.broken_off,
-                        &c.attempts,        &c.repeats,
-                        &c.repeats_unpaid,  &c.repeats_of_unknown,
-                        &c.inbound,         &c.inbound_fenced,
-                        &c.inbound_refused, &c.inbound_broken,
-                        &c.server_not_run,  &c.server_failures,
-                        &c.server_ends,     &c.ended_under_way,
-                        &c.isolated,        &c.suspects_cleared,
-                        &c.requests_barred, &c.bars_withdrawn,
-                        &c.inbound_barred,  &c.pings,
+  for (auto* counter : {&c.requests,         &c.answered,
+                        &c.refused,          &c.shed,
+                        &c.failed,           &c.no_route,
+                        &c.no_tenant,        &c.no_authority,
+                        &c.beyond_limit,     &c.limited_alone,
+                        &c.clients_gone,     &c.broken_off,
+                        &c.attempts,         &c.repeats,
+                        &c.repeats_unpaid,   &c.repeats_of_unknown,
+                        &c.inbound,          &c.inbound_fenced,
+                        &c.inbound_refused,  &c.inbound_broken,
+                        &c.server_not_run,   &c.server_failures,
+                        &c.server_crashes,   &c.crashed_under_way,
+                        &c.isolated,         &c.suspects_cleared,
+                        &c.requests_blocked, &c.blocks_withdrawn,
+                        &c.inbound_blocked,  &c.pings,
                         &c.silent_peers}) {
     number += 1;
     *counter = number;
