--- a/control/coordinator/coordinator_process.h
+++ b/control/coordinator/coordinator_process.h
@@ -18,7 +18,7 @@
 #include "common/settings_watch.h"
 #include "control/coordinator/coordinator_settings.h"
 #include "core/control/control_core.h"
-#include "core/external_api.h"
+#include "core/external/external_api.h"
 #include "net/stream/control_channels.h"
 #include "net/stream/http_server.h"
 #include "storage/raft_storage.h"
--- a/core/admission/overload_below.cc
+++ b/core/admission/overload_below.cc
@@ -93,7 +93,7 @@
   return found_levels;
 }
 
-auto strictest(std::vector<service_overload> left, const std::vector<service_overload>& right)
+auto highest_levels(std::vector<service_overload> left, const std::vector<service_overload>& right)
     -> std::vector<service_overload> {
   for (const auto& entry : right) {
     const auto same = std::find_if(left.begin(), left.end(), [&](const auto& other) {
--- a/core/admission/overload_below.h
+++ b/core/admission/overload_below.h
@@ -50,7 +50,7 @@
 };
 
 /// The highest level of each service in both lists.
-auto strictest(std::vector<service_overload> left, const std::vector<service_overload>& right)
+auto highest_levels(std::vector<service_overload> left, const std::vector<service_overload>& right)
     -> std::vector<service_overload>;
 
 /// The share of requests of one rank to refuse where they begin, 0 to 0.8: the least urgent rank is
--- a/core/admission/shedding.cc
+++ b/core/admission/shedding.cc
@@ -26,7 +26,7 @@
     -> std::vector<service_overload> {
   auto levels = std::vector<service_overload>();
   for (const auto& call : calls.calls_of(route)) {
-    levels = strictest(std::move(levels), overload.of(call, now));
+    levels = highest_levels(std::move(levels), overload.of(call, now));
   }
   return levels;
 }
--- a/core/control/control_core.h
+++ b/core/control/control_core.h
@@ -11,12 +11,12 @@
 #include <string>
 #include <vector>
 
-#include "core/call_model/server_registry.h"
 #include "core/consensus/raft.h"
 #include "core/consensus/snapshot_policy.h"
 #include "core/consensus/state_proof.h"
 #include "core/control/control_messages.h"
 #include "core/control/control_state.h"
+#include "core/control/server_registry.h"
 #include "core/crash_evidence/evidence_registry.h"
 #include "core/distribution/instance_registry.h"
 #include "core/distribution/proxy_messages.h"
--- a/core/control/control_messages.h
+++ b/core/control/control_messages.h
@@ -196,7 +196,7 @@
   std::string proxy_news;        ///< kProxyPoll, kSessions: an encoded ProxyNews.
   std::string traffic_document;  ///< kReadTraffic: the operator's text; empty before the first.
   LogIndex read_index = 0;       ///< kReadIndex.
-  std::string quota_word;        ///< kQuotaReport: an encoded quota_word.
+  std::string quota_answer;      ///< kQuotaReport: an encoded quota_answer.
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -222,7 +222,7 @@
     visitor(16, proxy_news);
     visitor(17, traffic_document);
     visitor(18, read_index);
-    visitor(19, quota_word);
+    visitor(19, quota_answer);
   }
 };
 
--- a/core/control/control_proxy_polls.cc
+++ b/core/control/control_proxy_polls.cc
@@ -61,7 +61,7 @@
     return true;
   }
   // The daemon's own record is known here in a newer form: it restarted with an older number.
-  const InstanceRecord* own = poll.has_self ? instances_.find(poll.self.daemon_address) : nullptr;
+  const InstanceRecord* own = poll.has_self ? instances_.find(poll.self.proxy_address) : nullptr;
   if (own != nullptr && own->isNewerThan(poll.self)) {
     return true;
   }
@@ -216,7 +216,7 @@
 void ControlCore::answerProxyPoll(ControlToken token, const HeldProxyPoll& held, TimePoint now) {
   const ProxyPoll& poll = held.poll;
   ProxyNews news = proxyNews(poll, now);
-  const InstanceRecord* own = poll.has_self ? instances_.find(poll.self.daemon_address) : nullptr;
+  const InstanceRecord* own = poll.has_self ? instances_.find(poll.self.proxy_address) : nullptr;
   if (own != nullptr && own->isNewerThan(poll.self)) {
     news.instances.emplace_back(*own);
   }
--- a/core/control/control_quotas.cc
+++ b/core/control/control_quotas.cc
@@ -23,14 +23,14 @@
   }
   followLimits(now);
   quotas_.on_report(*report, now);
-  const auto word = quotas_.word(now);
-  if (!word) {
+  const auto latest = quotas_.answer(now);
+  if (!latest) {
     answerError(token, ErrorKind::kNoQuorum, "this member leads since a moment ago");
     return;
   }
   ControlReply reply;
   reply.authoritative = true;
-  reply.quota_word = encode(*word);
+  reply.quota_answer = encode(*latest);
   answer(token, std::move(reply));
 }
 
--- a/core/call_model/server_registry.cc
+++ b/core/control/server_registry.cc
@@ -1,4 +1,4 @@
-#include "core/call_model/server_registry.h"
+#include "core/control/server_registry.h"
 
 #include <xxhash.h>
 
--- a/core/distribution/instance_record.h
+++ b/core/distribution/instance_record.h
@@ -19,11 +19,12 @@
 
 /// Written by one proxy only, so the higher (incarnation, revision) is the newer one.
 struct InstanceRecord {
-  std::string daemon_address;     ///< HOST:PORT where the proxy takes requests of its peers.
-  std::uint64_t incarnation = 0;  ///< Of the proxy's process; a later start has a higher one.
-  std::uint64_t revision = 0;     ///< Rises with every change within a process.
+  std::string proxy_address;            ///< HOST:PORT where the proxy takes requests of its peers.
+  std::uint64_t proxy_incarnation = 0;  ///< Of the proxy's process; a later start has a higher one.
+  std::uint64_t revision = 0;           ///< Rises with every change within a process.
   std::string zone;
-  std::string instance_id;  ///< Name of the server's incarnation; core/lifecycle/local_server.h.
+  std::string
+      server_incarnation;  ///< Name of the server's incarnation; core/lifecycle/local_server.h.
   std::string service;
   std::uint32_t slots = 0;  ///< Requests that the server works on at a time.
   InstanceState state = InstanceState::kNone;
@@ -31,18 +32,19 @@
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
-    visitor(1, daemon_address);
-    visitor(2, incarnation);
+    visitor(1, proxy_address);
+    visitor(2, proxy_incarnation);
     visitor(3, revision);
     visitor(4, zone);
-    visitor(5, instance_id);
+    visitor(5, server_incarnation);
     visitor(6, service);
     visitor(7, slots);
     visitor(8, state);
     visitor(9, cold_left);
   }
   [[nodiscard]] bool isNewerThan(const InstanceRecord& other) const {
-    return std::tie(incarnation, revision) > std::tie(other.incarnation, other.revision);
+    return std::tie(proxy_incarnation, revision) >
+           std::tie(other.proxy_incarnation, other.revision);
   }
 };
 
--- a/core/distribution/instance_registry.cc
+++ b/core/distribution/instance_registry.cc
@@ -3,7 +3,7 @@
 namespace ramppond {
 
 bool InstanceRegistry::offer(const InstanceRecord& record) {
-  Entry& entry = records_[record.daemon_address];
+  Entry& entry = records_[record.proxy_address];
   if (entry.changed != 0 && !record.isNewerThan(entry.record)) {
     return false;
   }
@@ -13,12 +13,12 @@
   entry.encoded = encode(record);
   entry.changed = counter_;
   digests_.put(record);
-  changes_[counter_] = record.daemon_address;
+  changes_[counter_] = record.proxy_address;
   return true;
 }
 
-const InstanceRecord* InstanceRegistry::find(const std::string& daemon_address) const {
-  const auto found = records_.find(daemon_address);
+const InstanceRecord* InstanceRegistry::find(const std::string& proxy_address) const {
+  const auto found = records_.find(proxy_address);
   return found == records_.end() ? nullptr : &found->second.record;
 }
 
--- a/core/distribution/instance_registry.h
+++ b/core/distribution/instance_registry.h
@@ -30,7 +30,7 @@
  public:
   /// Takes `record` if it is newer than the one held from its proxy. Returns whether it was taken.
   bool offer(const InstanceRecord& record);
-  [[nodiscard]] const InstanceRecord* find(const std::string& daemon_address) const;
+  [[nodiscard]] const InstanceRecord* find(const std::string& proxy_address) const;
   /// At most `most` records taken after counter() had the value `since`. Those of buckets in which
   /// `known` (record_digests::buckets()) agrees are left out; an empty `known` agrees in none.
   [[nodiscard]] RegistryChanges changesSince(std::uint64_t since, std::size_t most,
--- a/core/distribution/record_digests.h
+++ b/core/distribution/record_digests.h
@@ -29,7 +29,7 @@
   /// By bucket. Equal records give equal digests; others differ except by chance (2^-64).
   [[nodiscard]] auto buckets() const -> const std::vector<std::uint64_t>& { return this->digests; }
 
-  static auto bucket_of(const std::string& daemon_address) -> std::size_t;
+  static auto bucket_of(const std::string& proxy_address) -> std::size_t;
 
  private:
   struct version {
--- a/core/external_api.h
+++ b/core/external/external_api.h
@@ -60,7 +60,7 @@
   Duration drain_timeout = seconds(2);  ///< A leaving server takes nothing new after this.
   Duration grace = seconds(6);          ///< From SIGTERM to the end of the process.
   double retry_ratio = 0.2;             ///< Retries to a service, as a share of its requests.
-  shared_repeats retry_extra;           ///< Beyond that share, over all proxies.
+  shared_retries retry_extra;           ///< Beyond that share, over all proxies.
   /// After a key's removal is acknowledged, requests that are sent this much later with it run on
   /// no machine. Nothing: keys are as new as the configuration that a proxy holds.
   std::optional<Duration> revocation;
--- a/core/lifecycle/local_server.cc
+++ b/core/lifecycle/local_server.cc
@@ -102,7 +102,7 @@
   return established == 0 && onWrongInstance(incarnation);
 }
 
-bool LocalServer::announcedEnd(const std::string& incarnation) const {
+bool LocalServer::announcedLeave(const std::string& incarnation) const {
   const auto found = incarnations_.find(incarnation);
   return found != incarnations_.end() && (found->second.left || found->second.draining);
 }
@@ -126,7 +126,7 @@
   if (!known_) {
     return record;
   }
-  record.instance_id = current_.incarnation();
+  record.server_incarnation = current_.incarnation();
   record.service = current_.service;
   record.slots = current_.slots;
   record.cold_left = current_.cold_left;
--- a/core/lifecycle/local_server.h
+++ b/core/lifecycle/local_server.h
@@ -79,7 +79,7 @@
   [[nodiscard]] FenceVerdict admit(const std::string& incarnation, const std::string& service,
                                    TimePoint now) const;
   /// Whether the incarnation reported that it is leaving, so that its end is no crash.
-  [[nodiscard]] bool announcedEnd(const std::string& incarnation) const;
+  [[nodiscard]] bool announcedLeave(const std::string& incarnation) const;
   [[nodiscard]] bool known() const { return known_; }
   /// The last heartbeat of the current incarnation, or of the last one if none is known.
   [[nodiscard]] const ServerHeartbeat& heartbeat() const { return current_; }
--- a/core/placement/instance_directory.cc
+++ b/core/placement/instance_directory.cc
@@ -69,13 +69,13 @@
     : options_(std::move(options)), random_(options_.random_seed) {}
 
 bool InstanceDirectory::offer(const InstanceRecord& record) {
-  KnownInstance& known = by_proxy_[record.daemon_address];
-  const bool first = known.record.daemon_address.empty();
+  KnownInstance& known = by_proxy_[record.proxy_address];
+  const bool first = known.record.proxy_address.empty();
   if (!first && !record.isNewerThan(known.record)) {
     return false;
   }
-  const bool proxy_restarted = !first && known.record.incarnation != record.incarnation;
-  const bool other_server = known.record.instance_id != record.instance_id;
+  const bool proxy_restarted = !first && known.record.proxy_incarnation != record.proxy_incarnation;
+  const bool other_server = known.record.server_incarnation != record.server_incarnation;
   if (known.record.service != record.service) {
     moveToService(known, record.service);
   }
@@ -105,10 +105,10 @@
   const bool open = instance.record.state == InstanceState::kReady ||
                     instance.record.state == InstanceState::kStopping;
   return open && instance.fenced_until <= now && instance.record.service == service &&
-         excluded.count(instance.record.daemon_address) == 0;
+         excluded.count(instance.record.proxy_address) == 0;
 }
 
-std::vector<std::string> InstanceDirectory::daemonsOf(const std::string& service) const {
+std::vector<std::string> InstanceDirectory::proxiesBeside(const std::string& service) const {
   std::vector<std::string> daemons;
   const auto found = by_service_.find(service);
   if (found == by_service_.end()) {
@@ -116,7 +116,7 @@
   }
   for (const KnownInstance* instance : found->second) {
     if (instance->record.state == InstanceState::kReady) {
-      daemons.push_back(instance->record.daemon_address);
+      daemons.push_back(instance->record.proxy_address);
     }
   }
   return daemons;
@@ -275,7 +275,7 @@
 
 void InstanceDirectory::watch(KnownInstance& instance) {
   if (!instance.liveness.is_at_rest()) {
-    watched_[instance.record.daemon_address] = &instance;
+    watched_[instance.record.proxy_address] = &instance;
   }
 }
 
--- a/core/retries/call_attribution.cc
+++ b/core/retries/call_attribution.cc
@@ -90,7 +90,7 @@
     }
     only = &r;
     ++matching;
-    request.of_repeat = request.of_repeat || r.retry;
+    request.of_retry = request.of_retry || r.retry;
   }
   if (matching != 1) {
     return;
--- a/core/retries/call_attribution.h
+++ b/core/retries/call_attribution.h
@@ -35,7 +35,7 @@
   /// Calls that its run still makes after it; nothing if the run is not known.
   std::optional<std::uint32_t> calls_to_come = std::nullopt;
   /// Some run that may have made it is a retry.
-  bool of_repeat = false;
+  bool of_retry = false;
 };
 
 class call_attribution {
--- a/core/retries/retry_budget.h
+++ b/core/retries/retry_budget.h
@@ -23,7 +23,7 @@
 namespace ramppond {
 
 /// Retries allowed for each first send.
-struct repeat_share {
+struct retry_share {
   double value = 0.1;
 };
 
@@ -40,26 +40,26 @@
 };
 
 /// Retries of a service's requests that all proxies together may send beyond the share.
-struct shared_repeats {
+struct shared_retries {
   double count = 0;  ///< In any `window`.
   Duration window = seconds(10);
 };
 
 /// Retries that one proxy may send in a window beyond the share.
-struct repeat_allowance {
+struct retry_allowance {
   double count = 0;
 };
 
 /// The part of one of `proxies` in `shared`.
-auto part_of(const shared_repeats& shared, std::size_t proxies) -> repeat_allowance;
+auto part_of(const shared_retries& shared, std::size_t proxies) -> retry_allowance;
 
 class retry_budget {
  public:
   retry_budget() = default;
-  explicit retry_budget(repeat_share share, Duration window = seconds(10))
+  explicit retry_budget(retry_share share, Duration window = seconds(10))
       : share(share), window(window) {}
 
-  void set_allowance(repeat_allowance allowed) { this->allowance = allowed; }
+  void set_allowance(retry_allowance allowed) { this->allowance = allowed; }
 
   void on_first_send(TimePoint now);
 
@@ -88,9 +88,9 @@
   [[nodiscard]] auto allowed_in_window(std::int64_t begin, std::int64_t current) const -> double;
   [[nodiscard]] auto usable(std::int64_t current, budget_reserve reserve) const -> double;
 
-  repeat_share share;
+  retry_share share;
   Duration window = seconds(10);
-  repeat_allowance allowance;
+  retry_allowance allowance;
   std::deque<slot> slots;  // oldest first
 };
 
--- a/core/retries/retry_budgets.cc
+++ b/core/retries/retry_budgets.cc
@@ -4,7 +4,7 @@
 
 namespace ramppond {
 
-retry_budgets::retry_budgets(double platform_ratio, shared_repeats shared)
+retry_budgets::retry_budgets(double platform_ratio, shared_retries shared)
     : ratio{platform_ratio * retry_ratio_used}, shared(shared) {}
 
 auto retry_budgets::of(const std::string& service) -> retry_budget& {
--- a/core/retries/retry_budgets.h
+++ b/core/retries/retry_budgets.h
@@ -25,7 +25,7 @@
  public:
   /// `platform_ratio` bounds the retries for a service as a share of its first sends. `shared` is
   /// what all proxies together may send beyond that.
-  retry_budgets(double platform_ratio, shared_repeats shared);
+  retry_budgets(double platform_ratio, shared_retries shared);
 
   /// The budget for requests to `service`; made when first needed.
   auto of(const std::string& service) -> retry_budget&;
@@ -35,9 +35,9 @@
   void share_among(std::size_t proxies, Duration uptime);
 
  private:
-  repeat_share ratio;
-  shared_repeats shared;
-  repeat_allowance allowance;
+  retry_share ratio;
+  shared_retries shared;
+  retry_allowance allowance;
   std::map<std::string, retry_budget> budgets;  // by service
 };
 
--- a/core/distribution/member_ranking.cc
+++ b/core/session/member_ranking.cc
@@ -1,4 +1,4 @@
-#include "core/distribution/member_ranking.h"
+#include "core/session/member_ranking.h"
 
 #include <xxhash.h>
 
--- a/core/distribution/proxy_session.cc
+++ b/core/session/proxy_session.cc
@@ -1,4 +1,4 @@
-#include "core/distribution/proxy_session.h"
+#include "core/session/proxy_session.h"
 
 #include <algorithm>
 
@@ -36,7 +36,7 @@
   }
   record_ = std::move(record);
   revision_ += 1;
-  record_.incarnation = incarnation_;
+  record_.proxy_incarnation = incarnation_;
   record_.revision = revision_;
   digests_.put(record_);
   has_record_ = true;
@@ -184,7 +184,7 @@
   whole_registry_due_ = news.instances.size() >= kManyRecords;
   for (const auto& received : news.instances) {
     const InstanceRecord& record = received.value;
-    if (has_record_ && record.daemon_address == record_.daemon_address) {
+    if (has_record_ && record.proxy_address == record_.proxy_address) {
       outdateOwnRecord(record);
     } else {
       digests_.put(record);
@@ -234,7 +234,7 @@
   if (!known.isNewerThan(record_)) {
     return;
   }
-  incarnation_ = known.incarnation + 1;
+  incarnation_ = known.proxy_incarnation + 1;
   setOwnRecord(record_);
 }
 
--- a/core/distribution/proxy_session.h
+++ b/core/session/proxy_session.h
@@ -19,10 +19,10 @@
 #include "core/control/control_messages.h"
 #include "core/crash_evidence/evidence_registry.h"
 #include "core/distribution/instance_registry.h"
-#include "core/distribution/member_ranking.h"
 #include "core/distribution/proxy_messages.h"
 #include "core/distribution/record_digests.h"
 #include "core/random.h"
+#include "core/session/member_ranking.h"
 #include "core/time.h"
 #include "core/traffic/traffic_configuration.h"
 
--- a/core/tenants/quota_gate.cc
+++ b/core/tenants/quota_gate.cc
@@ -199,7 +199,7 @@
   }
 }
 
-void quota_gate::on_word(std::uint64_t sequence, const quota_word& word, TimePoint asked) {
+void quota_gate::on_answer(std::uint64_t sequence, const quota_answer& latest, TimePoint asked) {
   if (this->last_report && this->last_report->sequence == sequence) {
     this->confirm(this->last_report->uses);
   }
@@ -210,13 +210,13 @@
   for (auto& [name, account] : this->tenants) {
     account.fraction = 1;
   }
-  for (const auto& limited : word.limited) {
+  for (const auto& limited : latest.limited) {
     const auto found = this->tenants.find(limited.tenant);
     if (found != this->tenants.end()) {
       found->second.fraction = static_cast<double>(limited.permille) / thousandths;
     }
   }
-  this->reporting_proxies = word.daemons;
+  this->reporting_proxies = latest.daemons;
   this->answer_asked = asked;
 }
 
--- a/core/tenants/quota_gate.h
+++ b/core/tenants/quota_gate.h
@@ -39,7 +39,7 @@
 
   void set_limits(const std::vector<TenantDefinition>& tenants);
   /// Proxies that are known from their records.
-  void set_known_daemons(std::size_t count) { this->known_proxies = count; }
+  void set_known_proxies(std::size_t count) { this->known_proxies = count; }
 
   /// A request of `tenant` arrived; if it is admitted it counts as run.
   auto ask(const std::string& tenant, TimePoint now) -> quota_verdict;
@@ -53,7 +53,7 @@
   auto report() -> std::optional<quota_report>;
   /// The leader's answer to the report of that sequence number, which was sent at `asked`. Answers
   /// may come in any order and after later reports.
-  void on_word(std::uint64_t sequence, const quota_word& word, TimePoint asked);
+  void on_answer(std::uint64_t sequence, const quota_answer& latest, TimePoint asked);
 
  private:
   /// Requests that ran within the last window.
--- a/core/tenants/quota_ledger.cc
+++ b/core/tenants/quota_ledger.cc
@@ -186,21 +186,21 @@
   return wanted <= allowed ? 1 : allowed / wanted;
 }
 
-auto quota_ledger::word(TimePoint now) -> std::optional<quota_word> {
+auto quota_ledger::answer(TimePoint now) -> std::optional<quota_answer> {
   if (now - this->started < Duration(first_reports_time)) {
     return std::nullopt;
   }
   const auto counted = this->count_proxies(now);
-  auto word = quota_word();
-  word.daemons = counted.reporting + counted.silent;
+  auto latest = quota_answer();
+  latest.daemons = counted.reporting + counted.silent;
   for (auto& [name, account] : this->tenants) {
     const auto permille = static_cast<std::uint32_t>(
         std::lround(this->fraction(account, counted, now) * thousandths));
     if (permille < thousandths) {
-      word.limited.push_back({name, permille});
+      latest.limited.push_back({name, permille});
     }
   }
-  return word;
+  return latest;
 }
 
 }  // namespace ramppond
--- a/core/tenants/quota_ledger.h
+++ b/core/tenants/quota_ledger.h
@@ -35,7 +35,7 @@
 
   /// The fractions at present; nothing until the proxies had time to report since the last
   /// restart().
-  [[nodiscard]] auto word(TimePoint now) -> std::optional<quota_word>;
+  [[nodiscard]] auto answer(TimePoint now) -> std::optional<quota_answer>;
 
  private:
   // Requests over the last second, by the time of their report.
--- a/core/tenants/quota_messages.h
+++ b/core/tenants/quota_messages.h
@@ -55,7 +55,7 @@
 };
 
 /// The leader's answer to a report.
-struct quota_word {
+struct quota_answer {
   std::uint32_t daemons = 0;             // proxies that report or did lately
   std::vector<tenant_fraction> limited;  // requests of all other tenants may be admitted
 
--- a/core/traffic/traffic_configuration.h
+++ b/core/traffic/traffic_configuration.h
@@ -26,7 +26,7 @@
 };
 
 /// Whether requests of this kind may run more than once.
-inline bool isRepeatable(RequestKind kind) {
+inline bool isRetryable(RequestKind kind) {
   return kind != RequestKind::kUnsafe;
 }
 
--- a/daemon/proxy/crash_guard.cc
+++ b/daemon/proxy/crash_guard.cc
@@ -45,7 +45,7 @@
 }
 
 auto crash_guard::server() const -> server_instance {
-  const auto& heartbeat = this->context.server.heartbeat();
+  const auto& heartbeat = this->context.own.reports().heartbeat();
   return {heartbeat.incarnation(), heartbeat.service};
 }
 
@@ -54,9 +54,9 @@
 }
 
 auto crash_guard::has_trial(const request_digest& digest) const -> bool {
-  const auto& service = this->context.server.heartbeat().service;
+  const auto& service = this->context.own.reports().heartbeat().service;
   return is_trial_place(digest, this->context.settings.peer_address.toString(),
-                        this->context.directory.daemonsOf(service));
+                        this->context.directory.proxiesBeside(service));
 }
 
 void crash_guard::on_reported_crash(const request_digest& digest) {
@@ -86,7 +86,7 @@
   if (!this->ledger.is_pending() || this->probe != nullptr) {
     return;
   }
-  if (this->context.server_pool.established() > 0) {
+  if (this->context.own.connections().established() > 0) {
     this->checks += 1;
     if (this->checks < most_checks) {
       this->check_timer.after(check_interval, [this] { this->check_server(); });
@@ -105,7 +105,8 @@
       this->ledger.on_alive(EventLoop::now());
       break;
     case probe_answer::refuses:
-      this->context.noteServerRefusal(this->context.server.heartbeat().incarnation());
+      this->context.own.on_connection_refused(
+          this->context.own.reports().heartbeat().incarnation());
       break;
     case probe_answer::unknown:
       break;  // its next instance or a later loss will show it
@@ -114,7 +115,7 @@
 
 void crash_guard::on_server_gone(const std::string& incarnation) {
   const auto now = EventLoop::now();
-  if (this->context.server.announcedEnd(incarnation)) {
+  if (this->context.own.reports().announcedLeave(incarnation)) {
     this->ledger.on_alive(now);  // a planned stop
     return;
   }
--- a/daemon/proxy/forwarded_answer.cc
+++ b/daemon/proxy/forwarded_answer.cc
@@ -60,7 +60,7 @@
   }
   context_.directory.onLoad(attempt_->instance, terms_.route->name, *load, now);
   auto levels = parseOverload(head.find(kPeerOverload));
-  levels = strictest(std::move(levels), {{terms_.service, load->shed}});
+  levels = highest_levels(std::move(levels), {{terms_.service, load->shed}});
   context_.overload.on_answer(terms_.route->name, levels, now);
 }
 
@@ -178,10 +178,10 @@
 
 void ForwardedRequest::logOwnAnswer(const own_answer& answer, const std::string& last_peer) {
   const TimePoint now = EventLoop::now();
-  if (!context_.own_answers.allow(now.count())) {
+  if (!context_.own_answer_log.allow(now.count())) {
     return;
   }
-  logEvent(now.count(), context_.own_answers.event(),
+  logEvent(now.count(), context_.own_answer_log.event(),
            {{"request", exchange_->request().get(context_.api.headers().request_id)},
             {"digest", digest_},
             {"status", std::to_string(form_of(answer.kind).status)},
@@ -201,7 +201,7 @@
   std::string last_peer;
   if (attempt_) {
     attempt_->upstream->cancel();
-    last_peer = attempt_->instance.record.daemon_address;
+    last_peer = attempt_->instance.record.proxy_address;
   }
   done();
   logOwnAnswer(answer, last_peer);
--- a/daemon/proxy/forwarded_request.cc
+++ b/daemon/proxy/forwarded_request.cc
@@ -32,7 +32,7 @@
   head.set(context_.api.headers().caller_service, context_.settings.service);
   retry_budget& budget = context_.budgets.of(terms_.service);
   budget.on_first_send(terms_.received);
-  if (terms_.attributed.of_repeat) {
+  if (terms_.attributed.of_retry) {
     budget.charge(terms_.received);
   }
   deadline_timer_.after(std::max(timeLeft(), Duration(0)), [this] { onDeadline(); });
--- a/daemon/proxy/forwarded_retry.cc
+++ b/daemon/proxy/forwarded_retry.cc
@@ -47,7 +47,7 @@
 void ForwardedRequest::begin(KnownInstance& instance, TimePoint now) {
   state_ = State::kAttempting;
   makeDigest();
-  history_.tried.insert(instance.record.daemon_address);
+  history_.tried.insert(instance.record.proxy_address);
   context_.counters.attempts += 1;
   HttpHead head =
       head_for_peer({exchange_->request(), terms_, history_, instance.record, digest_,
@@ -55,7 +55,7 @@
   context_.directory.onSent(instance, now);
   context_.under_way.insert(this);
   attempt_.emplace(context_.loop, instance);
-  attempt_->send(context_.peers.to(instance.record.daemon_address), std::move(head), body_,
+  attempt_->send(context_.peers.to(instance.record.proxy_address), std::move(head), body_,
                  terms_.may_run_twice(), shared_from_this());
   if (body_.is_streamed()) {
     body_.release();
@@ -110,9 +110,9 @@
   const budget_draw draw = {context_.random.uniform()};
   const bool paid = context_.budgets.of(terms_.service).take(EventLoop::now(), reserve, draw);
   if (paid) {
-    context_.counters.repeats += 1;
+    context_.counters.retries += 1;
   } else {
-    context_.counters.repeats_unpaid += 1;
+    context_.counters.retries_unpaid += 1;
   }
   return paid;
 }
@@ -126,8 +126,8 @@
 
 void ForwardedRequest::retry(const std::string& reason) {
   const TimePoint now = EventLoop::now();
-  if (context_.repeats.allow(now.count())) {
-    logEvent(now.count(), context_.repeats.event(),
+  if (context_.retry_log.allow(now.count())) {
+    logEvent(now.count(), context_.retry_log.event(),
              {{"request", exchange_->request().get(context_.api.headers().request_id)},
               {"digest", digest_},
               {"service", terms_.service},
@@ -164,7 +164,7 @@
   endAttempt();
   history_.note(end);
   if (obtainRetry(judgeRetry(end, history_.arrivals))) {
-    context_.counters.repeats_of_unknown += end == attempt_end::unknown ? 1 : 0;
+    context_.counters.retries_of_unknown += end == attempt_end::unknown ? 1 : 0;
     retry(reason);
     return;
   }
--- a/daemon/proxy/forwarded_terms.h
+++ b/daemon/proxy/forwarded_terms.h
@@ -31,7 +31,7 @@
   /// The answer if the request is refused; what was found until then stays for the log line.
   auto settle(ProxyContext& context, HttpHead& head) -> std::optional<own_answer>;
 
-  [[nodiscard]] auto may_run_twice() const -> bool { return isRepeatable(this->route->kind); }
+  [[nodiscard]] auto may_run_twice() const -> bool { return isRetryable(this->route->kind); }
   /// The longest wait for room at a server.
   [[nodiscard]] auto patience() const -> Duration;
 
--- a/daemon/proxy/inbound_answer.cc
+++ b/daemon/proxy/inbound_answer.cc
@@ -74,10 +74,10 @@
 
 void InboundRequest::logRefusal(const std::string& outcome, const std::string& reason,
                                 TimePoint now) {
-  if (!context_.refusals.allow(now.count())) {
+  if (!context_.refusal_log.allow(now.count())) {
     return;
   }
-  logEvent(now.count(), context_.refusals.event(),
+  logEvent(now.count(), context_.refusal_log.event(),
            {{"request", exchange_->request().get(context_.api.headers().request_id)},
             {"digest", digest_ ? format_digest(*digest_) : std::string()},
             {"outcome", outcome},
--- a/daemon/proxy/inbound_request.cc
+++ b/daemon/proxy/inbound_request.cc
@@ -58,8 +58,8 @@
   admission_.is_call = head.find(kPeerCall) != nullptr;
   admission_.pressing_wait = pressing_wait(admission_.patience, admission_.is_call);
   head.removeHopByHop();
-  retryable_ = head.find(kPeerRepeatable) != nullptr;
-  retry_ = head.find(kPeerRepeat) != nullptr;
+  retryable_ = head.find(kPeerRetryable) != nullptr;
+  retry_ = head.find(kPeerRetry) != nullptr;
   held_back_ = parseBodyForm(head.get(kPeerConfirm));
   removePeerHeaders(head);
 }
--- a/daemon/proxy/inbound_request.h
+++ b/daemon/proxy/inbound_request.h
@@ -106,7 +106,7 @@
   suspicion suspicion_ = suspicion::heavy;  ///< Of one that is to run alone.
   bool alone_ = false;  ///< It began while no other suspected request ran at the server.
   bool retryable_ = false;
-  bool retry_ = false;       ///< A server may have run it before; see kPeerRepeat.
+  bool retry_ = false;       ///< A server may have run it before; see kPeerRetry.
   bool under_way_ = false;   ///< Counted by the admission.
   bool discarding_ = false;  ///< The server's answer says "not run": only its end is awaited.
   ServerOutcome outcome_ = ServerOutcome::kAnswered;  ///< As far as the answer's head tells.
--- a/daemon/proxy/peer_headers.h
+++ b/daemon/proxy/peer_headers.h
@@ -25,9 +25,9 @@
 /// Requests: present if it is a call of a server, or may be one.
 constexpr std::string_view kPeerCall = "Ramppond-Call";
 /// Requests: present if the request may be repeated.
-constexpr std::string_view kPeerRepeatable = "Ramppond-Repeatable";
+constexpr std::string_view kPeerRetryable = "Ramppond-Repeatable";
 /// Requests: present if a server may have run it before, or if such a repeat called it.
-constexpr std::string_view kPeerRepeat = "Ramppond-Repeat";
+constexpr std::string_view kPeerRetry = "Ramppond-Repeat";
 /// Requests: asks the daemon itself, not its server, for an answer.
 constexpr std::string_view kPeerPing = "Ramppond-Ping";
 /// Answers made by the daemon beside the server: one of the values below, and a reason.
--- a/daemon/proxy/peer_monitor.cc
+++ b/daemon/proxy/peer_monitor.cc
@@ -23,12 +23,12 @@
 
 void peer_monitor::ping(KnownInstance& instance) {
   this->counters.pings += 1;
-  const auto& address = instance.record.daemon_address;
+  const auto& address = instance.record.proxy_address;
   this->pings[address] = peer_ping::send(this->pools.to(address), this->directory, instance);
 }
 
 void peer_monitor::on_silent(KnownInstance& instance) {
-  const auto& address = instance.record.daemon_address;
+  const auto& address = instance.record.proxy_address;
   this->counters.silent_peers += 1;
   this->pools.close_idle_to(address);
   logEvent(EventLoop::now().count(), "peer_silent",
--- a/daemon/proxy/peer_ping.cc
+++ b/daemon/proxy/peer_ping.cc
@@ -10,7 +10,7 @@
   auto head = HttpHead();
   head.method = "GET";
   head.target = "/";
-  head.fields.push_back({"Host", instance.record.daemon_address});
+  head.fields.push_back({"Host", instance.record.proxy_address});
   head.fields.push_back({std::string(kPeerPing), "1"});
   auto ping = std::make_shared<peer_ping>(directory, instance);
   pool.start(head, BodyFraming::kNone, "", true, ping);
--- a/daemon/proxy/proxy_context.h
+++ b/daemon/proxy/proxy_context.h
@@ -14,7 +14,7 @@
 #include "common/event_log.h"
 #include "core/admission/overload_below.h"
 #include "core/admission/shedding.h"
-#include "core/external_api.h"
+#include "core/external/external_api.h"
 #include "core/placement/instance_directory.h"
 #include "core/random.h"
 #include "core/retries/call_attribution.h"
@@ -56,17 +56,6 @@
                const OperatingBounds& operating_bounds, ProxySettings own_settings,
                std::uint64_t seed);
 
-  // Shorter names for members of the parts below.
-  HttpClientPool& peer(const std::string& address) { return peers.to(address); }
-  retry_budget& budget(const std::string& service) { return budgets.of(service); }
-  bool noteServerRefusal(const std::string& incarnation) {
-    return own.on_connection_refused(incarnation);
-  }
-
-  [[nodiscard]] std::uint32_t ranksBelow(std::uint32_t rank) const {
-    return less_urgent_ranks(rank, traffic->configuration.routes, traffic->ranks, calls);
-  }
-
   EventLoop& loop;
   const ExternalApi& api;
   ProxySettings settings;
@@ -78,11 +67,9 @@
   InstanceDirectory directory;
   proxy_counters counters;
   own_server own;
-  const LocalServer& server;    ///< Of `own`.
-  HttpClientPool& server_pool;  ///< Of `own`.
-  call_attribution calls;       ///< Of the own server.
-  overload_below overload;      ///< By the routes of requests that begin on this machine.
-  crash_guard guard;            ///< Of the own server.
+  call_attribution calls;   ///< Of the own server.
+  overload_below overload;  ///< By the routes of requests that begin on this machine.
+  crash_guard guard;        ///< Of the own server.
   peer_pools peers;
   retry_budgets budgets;
   std::set<ForwardedRequest*> under_way;  ///< Those with an attempt under way.
@@ -91,9 +78,9 @@
   std::function<void()> on_tenant_surge;
   TimePoint last_failed_forward{0};  ///< When a request that began here last ended without success.
   bool refuse_peers = false;         ///< This proxy ends soon: nothing new may begin at its server.
-  DecisionLimit own_answers{"own_answer"};    ///< Answers made here in place of a server's.
-  DecisionLimit repeats{"repeat"};            ///< Retries.
-  DecisionLimit refusals{"inbound_refused"};  ///< Requests of peers that were not run here.
+  DecisionLimit own_answer_log{"own_answer"};    ///< Answers made here in place of a server's.
+  DecisionLimit retry_log{"repeat"};             ///< Retries.
+  DecisionLimit refusal_log{"inbound_refused"};  ///< Requests of peers that were not run here.
 };
 
 }  // namespace ramppond
--- a/daemon/proxy/proxy_counters.h
+++ b/daemon/proxy/proxy_counters.h
@@ -29,9 +29,9 @@
   std::uint64_t clients_gone = 0;
   std::uint64_t broken_off = 0;
   std::uint64_t attempts = 0;
-  std::uint64_t repeats = 0;             // retries
-  std::uint64_t repeats_unpaid = 0;      // retries not made for want of budget
-  std::uint64_t repeats_of_unknown = 0;  // of retries: an earlier attempt may have run
+  std::uint64_t retries = 0;
+  std::uint64_t retries_unpaid = 0;      // not made for want of budget
+  std::uint64_t retries_of_unknown = 0;  // of retries: an earlier attempt may have run
 
   // Requests of peers for the own server.
   std::uint64_t inbound = 0;
@@ -42,7 +42,7 @@
   std::uint64_t server_failures = 0;
 
   // Crashes of the own server, and requests that may cause them.
-  std::uint64_t server_crashes = 0;     // crashes
+  std::uint64_t server_crashes = 0;
   std::uint64_t crashed_under_way = 0;  // requests that it was at work on then
   std::uint64_t isolated = 0;           // suspected requests that were to run alone
   std::uint64_t suspects_cleared = 0;   // by a good answer here, after two crashes or more
--- a/daemon/proxy/proxy_process.cc
+++ b/daemon/proxy/proxy_process.cc
@@ -135,7 +135,7 @@
 
 void ProxyProcess::tellOwnRecord() {
   InstanceRecord record = context_.own.reports().record();
-  record.daemon_address = context_.settings.peer_address.toString();
+  record.proxy_address = context_.settings.peer_address.toString();
   record.zone = context_.settings.zone;
   if (stop_.has_begun() && record.state == InstanceState::kReady) {
     record.state = InstanceState::kStopping;
@@ -154,7 +154,7 @@
                       [this, poll_id, asked = now](const std::optional<ControlReply>& reply) {
                         const std::string before = session_.upstream();
                         if (session_.onReply(poll_id, reply, EventLoop::now())) {
-                          context_.lease.on_vouched(asked);
+                          context_.lease.on_proven(asked);
                         }
                         if (session_.upstream() != before) {
                           logEvent(EventLoop::now().count(), "control_member",
@@ -173,7 +173,7 @@
 void ProxyProcess::takeNews() {
   for (const InstanceRecord& record : session_.takeInstances()) {
     if (context_.directory.offer(record)) {
-      context_.peers.close_idle_to(record.daemon_address);
+      context_.peers.close_idle_to(record.proxy_address);
     }
   }
   context_.guard.take(session_.takeEvidence());
--- a/daemon/proxy/proxy_process.h
+++ b/daemon/proxy/proxy_process.h
@@ -10,7 +10,7 @@
 #include <string>
 
 #include "common/settings_watch.h"
-#include "core/distribution/proxy_session.h"
+#include "core/session/proxy_session.h"
 #include "daemon/proxy/proxy_context.h"
 #include "daemon/proxy/proxy_stop.h"
 #include "daemon/proxy/server_reports.h"
--- a/daemon/proxy/proxy_stop.h
+++ b/daemon/proxy/proxy_stop.h
@@ -7,7 +7,7 @@
 #include <functional>
 #include <optional>
 
-#include "core/external_api.h"
+#include "core/external/external_api.h"
 #include "core/lifecycle/planned_stop.h"
 #include "net/stream/event_loop.h"
 #include "net/stream/http_server.h"
--- a/daemon/proxy/server_reports.h
+++ b/daemon/proxy/server_reports.h
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "common/event_log.h"
-#include "core/external_api.h"
+#include "core/external/external_api.h"
 #include "daemon/proxy/own_server.h"
 #include "net/stream/http_server.h"
 
--- a/daemon/proxy/tenant_reports.cc
+++ b/daemon/proxy/tenant_reports.cc
@@ -32,13 +32,13 @@
     return;
   }
   this->last_report = EventLoop::now();
-  this->quotas.set_known_daemons(this->directory.size());
+  this->quotas.set_known_proxies(this->directory.size());
   auto report = this->quotas.report();
   if (!report) {
     return;
   }
   report->daemon = this->own_address;
-  report->incarnation = this->session.ownRecord().incarnation;
+  report->incarnation = this->session.ownRecord().proxy_incarnation;
   auto request = ControlRequest();
   request.type = ControlRequestType::kQuotaReport;
   request.quota_report = encode(*report);
@@ -65,9 +65,9 @@
   if (reply->error != ErrorKind::kNone) {
     return;
   }
-  const auto decision = decode<quota_word>(reply->quota_word);
+  const auto decision = decode<quota_answer>(reply->quota_answer);
   if (decision) {
-    this->quotas.on_word(sequence, *decision, asked);
+    this->quotas.on_answer(sequence, *decision, asked);
   }
 }
 
--- a/daemon/proxy/tenant_reports.h
+++ b/daemon/proxy/tenant_reports.h
@@ -9,8 +9,8 @@
 #include <optional>
 #include <string>
 
-#include "core/distribution/proxy_session.h"
 #include "core/placement/instance_directory.h"
+#include "core/session/proxy_session.h"
 #include "core/tenants/quota_gate.h"
 #include "net/stream/control_channels.h"
 #include "net/stream/event_loop.h"
--- a/tests/compatibility/wire_test.cc
+++ b/tests/compatibility/wire_test.cc
@@ -70,7 +70,7 @@
   table.add<Configuration>("configuration");
   table.add<evidence_batch>("evidence_batch");
   table.add<quota_report>("quota_report");
-  table.add<quota_word>("quota_word");
+  table.add<quota_answer>("quota_word");
   table.add<CallRequest>("call_request");
   table.add<CallAnswer>("call_answer");
   expectGolden(kRecording, table.encoded());
--- a/tests/core/admission/overload_below_test.cc
+++ b/tests/core/admission/overload_below_test.cc
@@ -52,7 +52,7 @@
 
 TEST(strictest_levels, the_highest_of_each_service_counts) {
   const auto merged =
-      strictest({{"a", {0.2}}, {"b", {0.9}}}, {{"b", {0.4}}, {"a", {0.5}}, {"c", {1}}});
+      highest_levels({{"a", {0.2}}, {"b", {0.9}}}, {{"b", {0.4}}, {"a", {0.5}}, {"c", {1}}});
   ASSERT_EQ(merged.size(), 3U);
   EXPECT_EQ(merged[0].level.value, 0.5);
   EXPECT_EQ(merged[1].level.value, 0.9);
--- a/tests/core/call_model/router_test.cc
+++ b/tests/core/call_model/router_test.cc
@@ -4,7 +4,7 @@
 
 #include <set>
 
-#include "core/call_model/server_registry.h"
+#include "core/control/server_registry.h"
 
 namespace ramppond {
 namespace {
--- a/tests/core/crash_evidence/evidence_session_test.cc
+++ b/tests/core/crash_evidence/evidence_session_test.cc
@@ -6,7 +6,7 @@
 
 #include "core/cbor_codec.h"
 #include "core/control/control_core.h"
-#include "core/distribution/proxy_session.h"
+#include "core/session/proxy_session.h"
 
 namespace ramppond {
 namespace {
@@ -57,7 +57,7 @@
     options.random_seed = this->proxies.size() + 1;
     this->proxies.push_back(std::make_unique<ProxySession>(options));
     auto record = InstanceRecord();
-    record.daemon_address = name;
+    record.proxy_address = name;
     record.service = service;
     this->proxies.back()->setOwnRecord(record);
     return *this->proxies.back();
--- a/tests/core/distribution/distribution_fleet.cc
+++ b/tests/core/distribution/distribution_fleet.cc
@@ -16,9 +16,9 @@
 
 InstanceRecord recordOf(std::size_t daemon) {
   InstanceRecord record;
-  record.daemon_address = daemonAddress(daemon);
+  record.proxy_address = daemonAddress(daemon);
   record.zone = "zone-" + std::to_string(daemon % 5);
-  record.instance_id = "instance-" + std::to_string(daemon);
+  record.server_incarnation = "instance-" + std::to_string(daemon);
   record.service = "service-" + std::to_string(daemon % 4);
   record.slots = 50;
   record.state = InstanceState::kReady;
@@ -70,7 +70,7 @@
     asked = asked->second.daemon == daemon ? asked_.erase(asked) : std::next(asked);
   }
   known_.at(daemon).clear();
-  sessions_.at(daemon) = sessionOf(daemon, sessions_.at(daemon)->ownRecord().incarnation + 1);
+  sessions_.at(daemon) = sessionOf(daemon, sessions_.at(daemon)->ownRecord().proxy_incarnation + 1);
 }
 
 void DistributionFleet::run(Duration time) {
@@ -113,7 +113,7 @@
     answered_by_[daemon] = ControlGroup::memberAt(session.upstream());
   }
   for (InstanceRecord& record : session.takeInstances()) {
-    known_[daemon][record.daemon_address] = std::move(record);
+    known_[daemon][record.proxy_address] = std::move(record);
   }
 }
 
--- a/tests/core/distribution/distribution_fleet.h
+++ b/tests/core/distribution/distribution_fleet.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "core/distribution/proxy_session.h"
+#include "core/session/proxy_session.h"
 #include "tests/core/control/control_group.h"
 
 namespace ramppond {
--- a/tests/core/lifecycle/local_server_test.cc
+++ b/tests/core/lifecycle/local_server_test.cc
@@ -110,11 +110,12 @@
 TEST(LocalServer, ARestartUnderTheSameIdentityIsAnotherIncarnation) {
   LocalServer server(kDrainingAdmission);
   server.onHeartbeat(bornAt(1000, "a", 40), TimePoint(0));
-  const std::string former = server.record().instance_id;
+  const std::string former = server.record().server_incarnation;
   EXPECT_TRUE(server.onHeartbeat(bornAt(9000, "a", 1), seconds(2)));
-  EXPECT_NE(server.record().instance_id, former);
+  EXPECT_NE(server.record().server_incarnation, former);
   EXPECT_EQ(server.admit(former, "desk", seconds(2)), FenceVerdict::kOtherInstance);
-  EXPECT_EQ(server.admit(server.record().instance_id, "desk", seconds(2)), FenceVerdict::kAdmit);
+  EXPECT_EQ(server.admit(server.record().server_incarnation, "desk", seconds(2)),
+            FenceVerdict::kAdmit);
   EXPECT_EQ(server.heartbeat().instance_id, "a");
 }
 
--- a/tests/core/placement/instance_directory_test.cc
+++ b/tests/core/placement/instance_directory_test.cc
@@ -8,11 +8,11 @@
 InstanceRecord record(const std::string& daemon, const std::string& zone,
                       InstanceState state = InstanceState::kReady, std::uint64_t revision = 1) {
   InstanceRecord record;
-  record.daemon_address = daemon;
-  record.incarnation = 1;
+  record.proxy_address = daemon;
+  record.proxy_incarnation = 1;
   record.revision = revision;
   record.zone = zone;
-  record.instance_id = "i-" + daemon;
+  record.server_incarnation = "i-" + daemon;
   record.service = "desk";
   record.slots = 10;
   record.state = state;
@@ -23,7 +23,7 @@
  protected:
   std::string choose(const std::set<std::string>& excluded = {}) {
     const KnownInstance* chosen = directory_.choose("desk", "route", excluded, now_);
-    return chosen == nullptr ? "" : chosen->record.daemon_address;
+    return chosen == nullptr ? "" : chosen->record.proxy_address;
   }
   KnownInstance& find(const std::string& daemon) {
     std::set<std::string> others = {"near", "far", "other"};
@@ -94,7 +94,7 @@
   first.revision = 2;
   EXPECT_FALSE(directory_.offer(first));
   InstanceRecord again = first;
-  again.incarnation = 2;
+  again.proxy_incarnation = 2;
   EXPECT_TRUE(directory_.offer(again));
   EXPECT_FALSE(directory_.offer(first));
 }
@@ -186,7 +186,7 @@
   now_ += milliseconds(300);
   const auto changes = directory_.checkLiveness(now_);
   ASSERT_EQ(changes.silent.size(), 1U);
-  EXPECT_EQ(changes.silent.front()->record.daemon_address, "near");
+  EXPECT_EQ(changes.silent.front()->record.proxy_address, "near");
   EXPECT_EQ(choose(), "far");
   directory_.onPingAnswered(find("near"), now_);
   EXPECT_EQ(choose(), "near");
--- a/tests/core/retries/call_attribution_test.cc
+++ b/tests/core/retries/call_attribution_test.cc
@@ -75,7 +75,7 @@
   this->attribution.on_begun(3, "version", deadline + milliseconds(2), true);
   const auto call = this->attribution.on_request("rule", deadline);
   EXPECT_FALSE(call.calls_to_come);
-  EXPECT_TRUE(call.of_repeat);
+  EXPECT_TRUE(call.of_retry);
 }
 
 TEST_F(call_attribution_test, runs_that_failed_tell_nothing_of_how_many_calls_there_are) {
--- a/tests/core/retries/retry_budget_test.cc
+++ b/tests/core/retries/retry_budget_test.cc
@@ -18,7 +18,7 @@
 constexpr auto window_slots = std::size_t(10);
 constexpr auto allowed_ratio = 0.2;
 constexpr auto allowed_extra = 55.0;
-constexpr auto earned_share = repeat_share{0.12};
+constexpr auto earned_share = retry_share{0.12};
 
 struct fleet_case {
   const char* name;
@@ -104,7 +104,7 @@
 // Where a service turns much away, runs end early and first sends become few: what was sent in the
 // window before still pays: 49 retries with tokens of 0.12 that last for five seconds.
 TEST(retry_budget, what_was_sent_before_a_service_failed_pays_for_the_window) {
-  auto budget = retry_budget(repeat_share{0.16});
+  auto budget = retry_budget(retry_share{0.16});
   auto retries = 0;
   for (auto ms = 0; ms < 30000; ms += 20) budget.on_first_send(milliseconds(ms));
   for (auto ms = 30000; ms < 38500; ms += 40) {
--- a/tests/core/distribution/proxy_session_test.cc
+++ b/tests/core/session/proxy_session_test.cc
@@ -1,5 +1,5 @@
 // A daemon's session against control members that are cut off, restarted or behind.
-#include "core/distribution/proxy_session.h"
+#include "core/session/proxy_session.h"
 
 #include <gtest/gtest.h>
 
@@ -37,8 +37,8 @@
 
 InstanceRecord record(const std::string& address) {
   InstanceRecord record;
-  record.daemon_address = address;
-  record.instance_id = "i";
+  record.proxy_address = address;
+  record.server_incarnation = "i";
   record.state = InstanceState::kReady;
   return record;
 }
@@ -173,7 +173,7 @@
   const auto told = decode<ProxyPoll>(next->request.proxy_poll);
   ASSERT_TRUE(told);
   EXPECT_TRUE(told->has_self);
-  EXPECT_EQ(told->self.instance_id, "i");
+  EXPECT_EQ(told->self.server_incarnation, "i");
 }
 
 TEST(ProxySession, ARecordOfAFormerProcessWithAHigherNumberIsOutdone) {
@@ -181,7 +181,7 @@
   proxy.setOwnRecord(record("10.0.0.5:1"));
   const auto poll = proxy.takePoll(TimePoint(0));
   InstanceRecord former = record("10.0.0.5:1");
-  former.incarnation = 99;
+  former.proxy_incarnation = 99;
   former.revision = 3;
   proxy.onReply(poll->poll_id, reply(5, true, {former}), TimePoint(0));
   EXPECT_TRUE(proxy.ownRecord().isNewerThan(former));
@@ -266,7 +266,7 @@
   ProxyPoll other = poll;
   other.has_self = true;
   other.self = record("10.0.0.6:1");
-  other.self.incarnation = 1;
+  other.self.proxy_incarnation = 1;
   other.hold = Duration(0);
   request.proxy_poll = encode(other);
   const auto answers = member.ask(6, request);
@@ -274,7 +274,7 @@
   const auto news = decode<ProxyNews>(answers.back().reply.proxy_news);
   ASSERT_TRUE(news);
   ASSERT_EQ(news->instances.size(), 1U);
-  EXPECT_EQ(news->instances.front().value.daemon_address, "10.0.0.6:1");
+  EXPECT_EQ(news->instances.front().value.proxy_address, "10.0.0.6:1");
 }
 
 // A member applies its log before it serves: hundreds of changes must not lengthen its start.
--- a/tests/core/tenants/quota_test.cc
+++ b/tests/core/tenants/quota_test.cc
@@ -39,7 +39,7 @@
   void restart(std::size_t i) {
     auto& d = this->daemons.at(i);
     d.gate = std::make_unique<quota_gate>(bounds, this->random.next());
-    d.gate->set_known_daemons(this->daemons.size());
+    d.gate->set_known_proxies(this->daemons.size());
     d.configured = false;
     d.incarnation += 1;
     d.next_report = this->now + d.phase;
@@ -127,9 +127,9 @@
       if (this->random.chance(this->doubled)) {
         this->ledger->on_report(*report, this->now);
       }
-      const auto word = this->ledger->word(this->now);
-      if (word && !this->random.chance(this->lost)) {
-        d.gate->on_word(report->sequence, *word, this->now);
+      const auto latest = this->ledger->answer(this->now);
+      if (latest && !this->random.chance(this->lost)) {
+        d.gate->on_answer(report->sequence, *latest, this->now);
       }
     }
   }
@@ -228,7 +228,7 @@
 TEST(quota, a_request_that_did_not_run_is_given_back) {
   auto gate = quota_gate(bounds, 1);
   gate.set_limits(limit(1, 1));
-  gate.set_known_daemons(1);
+  gate.set_known_proxies(1);
   for (int i = 0; i < 100; ++i) {
     EXPECT_TRUE(gate.ask(tenant_name, seconds(1)).admitted) << i;
     gate.on_not_run(tenant_name, seconds(1));
@@ -239,23 +239,23 @@
 TEST(quota, an_answer_that_comes_after_the_next_report_counts) {
   auto gate = quota_gate(bounds, 1);
   gate.set_limits(limit(1, 1));
-  gate.set_known_daemons(1000);
+  gate.set_known_proxies(1000);
   const auto first = gate.report();
   const auto second = gate.report();
   ASSERT_TRUE(first && second);
-  gate.on_word(first->sequence, {1000, {}}, seconds(1));
+  gate.on_answer(first->sequence, {1000, {}}, seconds(1));
   EXPECT_FALSE(gate.ask(tenant_name, seconds(1)).alone);
-  auto nothing = quota_word();
+  auto nothing = quota_answer();
   nothing.limited = {{tenant_name, 0}};
-  gate.on_word(second->sequence, nothing, seconds(1) + milliseconds(100));
-  gate.on_word(first->sequence, {1000, {}}, seconds(1));
+  gate.on_answer(second->sequence, nothing, seconds(1) + milliseconds(100));
+  gate.on_answer(first->sequence, {1000, {}}, seconds(1));
   EXPECT_FALSE(gate.ask(tenant_name, seconds(1) + milliseconds(100)).admitted);
 }
 
 TEST(quota, who_is_refused_is_told_when_to_come_back) {
   auto gate = quota_gate(bounds, 1);
   gate.set_limits(limit(1, 1));
-  gate.set_known_daemons(1);
+  gate.set_known_proxies(1);
   auto verdict = quota_verdict();
   for (int i = 0; i < 100 && verdict.admitted; ++i) {
     verdict = gate.ask(tenant_name, seconds(1));
--- a/tests/daemon/proxy/forwarded_attempt_test.cc
+++ b/tests/daemon/proxy/forwarded_attempt_test.cc
@@ -78,12 +78,12 @@
   terms.rank = 7;
   terms.service = "records";
   terms.is_call = tested.is_call;
-  terms.attributed.of_repeat = tested.of_retried_run;
+  terms.attributed.of_retry = tested.of_retried_run;
   auto history = forwarded_history();
   history.lost_runs = tested.lost_runs;
   history.may_have_run = tested.may_have_run;
   auto instance = InstanceRecord();
-  instance.instance_id = "i-1";
+  instance.server_incarnation = "i-1";
   auto request = HttpHead();
   request.fields = {{"Host", "h"}, {"Deadline", "99999"}};
   const auto digest = std::string("d");
