--- a/core/answers/own_answer.h
+++ b/core/answers/own_answer.h
@@ -1,4 +1,4 @@
-// The answers that a daemon gives in place of a server to a request that began on its machine.
+// The answers that a proxy gives in place of a server to a request that began on its machine.
 //
 // A closed list with one table: status, what is promised about the request, Retry-After, counter
 // and reason of each. Also the choice among them where it depends on what earlier attempts have
@@ -17,7 +17,7 @@
 namespace ramppond {
 
 enum class own_answer_kind : std::uint8_t {
-  no_configuration,       ///< This daemon holds none.
+  no_configuration,       ///< This proxy holds none.
   no_route,               ///< For its host and path.
   body_too_large,         ///< By the limit of the configuration.
   unknown_key,            ///< No key, or one that no tenant holds.
--- a/core/answers/retry_after.h
+++ b/core/answers/retry_after.h
@@ -19,7 +19,7 @@
 constexpr auto least_retry_after = Duration(milliseconds(100));
 
 /// Without a configuration there is no goal: the control group elects a leader in about this time,
-/// and before that no daemon has anything new.
+/// and before that no proxy has anything new.
 constexpr auto retry_after_without_configuration = Duration(milliseconds(400));
 
 /// A uniform draw from [0, 1).
--- a/core/call_model/router.h
+++ b/core/call_model/router.h
@@ -1,4 +1,4 @@
-// Chooses the server that a call is sent to, from first-hand experience before hearsay.
+// Chooses the server that a call is sent to, from first-hand experience before what others report.
 #pragma once
 
 #include <cstdint>
--- a/core/retries/attempt_end.h
+++ b/core/retries/attempt_end.h
@@ -1,6 +1,6 @@
 // How an attempt to have a request run by a server ended, as far as a further attempt is concerned.
 //
-// An attempt ends by an answer of the daemon beside the server, or without one: then what is known
+// An attempt ends by an answer of the proxy beside the server, or without one: then what is known
 // of the request depends on whether its end had been sent. Pure.
 #pragma once
 
--- a/core/retries/retry_rule.h
+++ b/core/retries/retry_rule.h
@@ -18,7 +18,7 @@
 /// fewer it gives up while servers in another zone have room.
 constexpr auto max_attempts_at_request = std::size_t(6);
 
-/// No attempt begins with less time than this left: a round trip between daemons and the shortest
+/// No attempt begins with less time than this left: a round trip between proxies and the shortest
 /// work would outlast it, and the server would work for nobody.
 constexpr auto least_time_for_attempt = Duration(milliseconds(10));
 
--- a/core/tenants/quota_gate.cc
+++ b/core/tenants/quota_gate.cc
@@ -216,7 +216,7 @@
       found->second.fraction = static_cast<double>(limited.permille) / thousandths;
     }
   }
-  this->reporting_proxies = latest.daemons;
+  this->reporting_proxies = latest.proxies;
   this->answer_asked = asked;
 }
 
--- a/core/tenants/quota_gate.h
+++ b/core/tenants/quota_gate.h
@@ -49,7 +49,7 @@
   /// Whether some tenant has sent so much since the last report that a report is due at once.
   [[nodiscard]] auto surging() const -> bool { return this->surge; }
   /// The totals that the leader has not confirmed; nothing when no tenant has a
-  /// limit. The caller fills in `daemon` and `incarnation`.
+  /// limit. The caller fills in `proxy_address` and `incarnation`.
   auto report() -> std::optional<quota_report>;
   /// The leader's answer to the report of that sequence number, which was sent at `asked`. Answers
   /// may come in any order and after later reports.
--- a/core/tenants/quota_ledger.cc
+++ b/core/tenants/quota_ledger.cc
@@ -115,10 +115,10 @@
 }
 
 void quota_ledger::on_report(const quota_report& report, TimePoint now) {
-  if (this->proxies.size() >= max_proxies && this->proxies.count(report.daemon) == 0) {
+  if (this->proxies.size() >= max_proxies && this->proxies.count(report.proxy_address) == 0) {
     return;
   }
-  auto& proxy = this->proxies[report.daemon];
+  auto& proxy = this->proxies[report.proxy_address];
   if (proxy.incarnation != report.incarnation) {
     proxy = {report.incarnation, 0, now, {}};
   }
@@ -192,7 +192,7 @@
   }
   const auto counted = this->count_proxies(now);
   auto latest = quota_answer();
-  latest.daemons = counted.reporting + counted.silent;
+  latest.proxies = counted.reporting + counted.silent;
   for (auto& [name, account] : this->tenants) {
     const auto permille = static_cast<std::uint32_t>(
         std::lround(this->fraction(account, counted, now) * thousandths));
--- a/core/tenants/quota_messages.h
+++ b/core/tenants/quota_messages.h
@@ -29,14 +29,14 @@
 };
 
 struct quota_report {
-  std::string daemon;             // HOST:PORT where the proxy takes requests of its peers
+  std::string proxy_address;      // HOST:PORT where the proxy takes requests of its peers
   std::uint64_t incarnation = 0;  // of the proxy's process
   std::uint64_t sequence = 0;     // rises with each report
   std::vector<tenant_use> uses;
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
-    visitor(1, daemon);
+    visitor(1, proxy_address);
     visitor(2, incarnation);
     visitor(3, sequence);
     visitor(4, uses);
@@ -56,12 +56,12 @@
 
 /// The leader's answer to a report.
 struct quota_answer {
-  std::uint32_t daemons = 0;             // proxies that report or did lately
+  std::uint32_t proxies = 0;             // proxies that report or did lately
   std::vector<tenant_fraction> limited;  // requests of all other tenants may be admitted
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
-    visitor(1, daemons);
+    visitor(1, proxies);
     visitor(2, limited);
   }
 };
--- a/daemon/proxy/forwarded_answer.cc
+++ b/daemon/proxy/forwarded_answer.cc
@@ -1,4 +1,4 @@
-// What comes back to a forwarded request: the answer of its server, or one of the daemons.
+// What comes back to a forwarded request: the answer of its server, or one of the proxies.
 #include "core/answers/retry_after.h"
 #include "daemon/proxy/forwarded_request.h"
 #include "daemon/proxy/peer_headers.h"
--- a/daemon/proxy/forwarded_attempt.h
+++ b/daemon/proxy/forwarded_attempt.h
@@ -1,5 +1,5 @@
 // One attempt to have a forwarded request run: the server that was chosen, what is under way to the
-// daemon beside it, and what has come back. Ends with the attempt.
+// proxy beside it, and what has come back. Ends with the attempt.
 //
 // Belongs to a ForwardedRequest, which tells the directory of its begin and end. On the thread of
 // the event loop.
@@ -23,7 +23,7 @@
 
 /// What earlier attempts at a request have left for the next one.
 struct forwarded_history {
-  std::set<std::string> tried;  // addresses of daemons
+  std::set<std::string> tried;  // addresses of proxies
   std::uint32_t arrivals = 0;   // attempts that a server received
   std::uint32_t lost_runs = 0;  // servers that were lost while it ran there
   bool may_have_run = false;    // in some attempt
@@ -83,7 +83,7 @@
   request_end end = request_end::passed_on;
 };
 
-/// The head of an attempt as the daemon beside `instance` takes it.
+/// The head of an attempt as the proxy beside `instance` takes it.
 struct attempt_head {
   const HttpHead& request;
   const forwarded_terms& terms;
--- a/daemon/proxy/forwarded_body.h
+++ b/daemon/proxy/forwarded_body.h
@@ -11,7 +11,7 @@
 
 namespace ramppond {
 
-/// Bodies below this size are held. Above it a daemon with many uploads would hold them all in
+/// Bodies below this size are held. Above it a proxy with many uploads would hold them all in
 /// memory; below it, common forms could not be sent to a second server.
 constexpr auto max_held_body = std::size_t(65536);
 
--- a/daemon/proxy/forwarded_outcome.h
+++ b/daemon/proxy/forwarded_outcome.h
@@ -1,4 +1,4 @@
-// An answer that the daemon beside a server made itself, in place of that server.
+// An answer that the proxy beside a server made itself, in place of that server.
 //
 // Decodes its header fields (daemon/proxy/peer_headers.h) into a closed list of outcomes.
 #pragma once
--- a/daemon/proxy/forwarded_request.h
+++ b/daemon/proxy/forwarded_request.h
@@ -1,8 +1,8 @@
 // A request of a client of this machine, or of its server, from its head to its answer.
 //
 // Settles what holds for the whole request (forwarded_terms), makes one attempt after the other at
-// daemons beside servers of its service (forwarded_attempt), and passes the server's answer on or
-// gives one of this daemon's own. The rules stand in core/ (retries/retry_rule,
+// proxies beside servers of its service (forwarded_attempt), and passes the server's answer on or
+// gives one of this proxy's own. The rules stand in core/ (retries/retry_rule,
 // answers/own_answer); this class carries them out. Owns the exchange with the client and the
 // request's timers; the directory, the budgets and the counters are those of ProxyContext. On the
 // thread of the event loop.
@@ -47,7 +47,7 @@
   ForwardedRequest(const ForwardedRequest&) = delete;
   ForwardedRequest& operator=(const ForwardedRequest&) = delete;
 
-  /// The daemon beside `instance` answers nothing any more. A request that waits there and may be
+  /// The proxy beside `instance` answers nothing any more. A request that waits there and may be
   /// retried goes elsewhere; any other waits on, since only time can tell whether it runs.
   void onPeerSilent(const KnownInstance& instance);
 
@@ -97,7 +97,7 @@
   void notePeerAnswer(const peer_answer& answer);
   /// Passes on the head of the server's answer and what has come of its body.
   void releaseAnswer();
-  /// Ends the request by an answer of this daemon; an attempt under way is given up.
+  /// Ends the request by an answer of this proxy; an attempt under way is given up.
   void answerOwn(const own_answer& answer);
   void logOwnAnswer(const own_answer& answer, const std::string& last_peer);
   void noteOwnAnswer(const own_answer_form& form);
--- a/daemon/proxy/peer_headers.h
+++ b/daemon/proxy/peer_headers.h
@@ -1,4 +1,4 @@
-// Header fields that daemons of the forwarding path add for each other. They are taken off whatever
+// Header fields that proxies of the forwarding path add for each other. They are taken off whatever
 // comes from clients and servers and never reach either.
 #pragma once
 
@@ -18,19 +18,19 @@
 constexpr std::string_view kPeerPriority = "Ramppond-Priority";
 /// Requests: how long the request may wait before its server, in milliseconds.
 constexpr std::string_view kPeerPatienceMs = "Ramppond-Patience-Ms";
-/// Requests that may not be repeated: the end of the request follows only when the daemon beside
+/// Requests that must not run twice: the end of the request follows only when the proxy beside
 /// the server has room and says so by an interim answer (102). Until then it has provably not run.
 /// Value: how the body is framed towards the server; see BodyForm.
 constexpr std::string_view kPeerConfirm = "Ramppond-Confirm";
 /// Requests: present if it is a call of a server, or may be one.
 constexpr std::string_view kPeerCall = "Ramppond-Call";
-/// Requests: present if the request may be repeated.
+/// Requests: present if the request may run twice.
 constexpr std::string_view kPeerRetryable = "Ramppond-Repeatable";
-/// Requests: present if a server may have run it before, or if such a repeat called it.
+/// Requests: present if a server may have run it before, or if such a retry called it.
 constexpr std::string_view kPeerRetry = "Ramppond-Repeat";
-/// Requests: asks the daemon itself, not its server, for an answer.
+/// Requests: asks the proxy itself, not its server, for an answer.
 constexpr std::string_view kPeerPing = "Ramppond-Ping";
-/// Answers made by the daemon beside the server: one of the values below, and a reason.
+/// Answers made by the proxy beside the server: one of the values below, and a reason.
 constexpr std::string_view kPeerOutcome = "Ramppond-Outcome";
 /// Answers: the connection ends, and whatever request comes next on it is not read.
 constexpr std::string_view kPeerFarewell = "Ramppond-Farewell";
--- a/daemon/proxy/tenant_reports.cc
+++ b/daemon/proxy/tenant_reports.cc
@@ -37,7 +37,7 @@
   if (!report) {
     return;
   }
-  report->daemon = this->own_address;
+  report->proxy_address = this->own_address;
   report->incarnation = this->session.ownRecord().proxy_incarnation;
   auto request = ControlRequest();
   request.type = ControlRequestType::kQuotaReport;
--- a/tests/core/tenants/quota_test.cc
+++ b/tests/core/tenants/quota_test.cc
@@ -121,7 +121,7 @@
       if (!report || d.cut || this->random.chance(this->lost)) {
         continue;
       }
-      report->daemon = std::to_string(i);
+      report->proxy_address = std::to_string(i);
       report->incarnation = d.incarnation;
       this->ledger->on_report(*report, this->now);
       if (this->random.chance(this->doubled)) {
