--- a/core/traffic/traffic_configuration.cc
+++ b/core/traffic/traffic_configuration.cc
@@ -87,11 +87,6 @@
   return validateTenants(configuration.tenants);
 }
 
-bool definesService(const TrafficConfiguration& configuration, const std::string& name) {
-  return std::any_of(configuration.services.begin(), configuration.services.end(),
-                     [&](const ServiceDefinition& service) { return service.name == name; });
-}
-
 TrafficRoutes::TrafficRoutes(const TrafficConfiguration& configuration) {
   for (const TrafficRoute& route : configuration.routes) {
     by_host_[lowerCase(route.host)].push_back(&route);
--- a/core/traffic/traffic_configuration.h
+++ b/core/traffic/traffic_configuration.h
@@ -144,9 +144,6 @@
 /// Nothing if it is valid. Its number is compared to the one in force by ControlState.
 std::optional<std::string> validateTraffic(const TrafficConfiguration& configuration);
 
-/// Whether `configuration` defines a service of that name.
-bool definesService(const TrafficConfiguration& configuration, const std::string& name);
-
 /// Finds routes by host and longest path prefix. Refers to the configuration it was made from.
 class TrafficRoutes {
  public:
--- a/net/stream/http_client.cc
+++ b/net/stream/http_client.cc
@@ -111,9 +111,6 @@
 
 void HttpClientConnection::onConnectFailed(ConnectFailure failure) {
   leavePool();
-  if (*pool_alive_) {
-    pool_.counters_.connections_failed += 1;
-  }
   switch (failure) {
     case ConnectFailure::kNoSocket:
       fail(ClientFailure::kNoSocket);
--- a/net/stream/http_client.h
+++ b/net/stream/http_client.h
@@ -89,7 +89,6 @@
 
 struct HttpClientCounters {
   std::uint64_t connections_opened = 0;
-  std::uint64_t connections_failed = 0;
   std::uint64_t surplus_answers = 0;
   std::uint64_t surplus_bytes = 0;
 };
--- a/net/stream/http_parser.cc
+++ b/net/stream/http_parser.cc
@@ -146,11 +146,6 @@
                                              : end(*implementation_->response);
 }
 
-bool HttpParser::started() const {
-  return implementation_->request != nullptr ? implementation_->request->got_some()
-                                             : implementation_->response->got_some();
-}
-
 bool HttpParser::headDone() const {
   return implementation_->request != nullptr ? implementation_->request->is_header_done()
                                              : implementation_->response->is_header_done();
--- a/net/stream/http_parser.h
+++ b/net/stream/http_parser.h
@@ -48,7 +48,6 @@
   ParseStep parse(std::string_view bytes);
   /// The peer has ended its side. kComplete if that ends the message properly.
   ParseState parseEnd();
-  [[nodiscard]] bool started() const;
   [[nodiscard]] bool headDone() const;
 
  private:
