--- a/core/admission/circuit_breaker.cc
+++ b/core/admission/circuit_breaker.cc
@@ -7,17 +7,17 @@
 namespace ramppond {
 namespace {
 
-// In a row. Fewer, a server that fails one request in a hundred is left too; more, one that fails
-// every second request is left late.
+// Consecutive failures. With fewer, a server that fails one request in a hundred is excluded too;
+// with more, a server that fails every second request is excluded late.
 constexpr auto failures_to_open = std::uint32_t(6);
-// Before the first probe; each probe that fails doubles the pause, up to the longest. Shorter, more
-// requests are lost to probes; longer, a server that has recovered stays idle.
+// Pause before the first probe. Each failed probe doubles it, up to `max_pause`. A shorter pause
+// loses more requests to probes; a longer one leaves a recovered server idle.
 constexpr auto first_pause = milliseconds(150);
-constexpr auto longest_pause = milliseconds(1200);
-// After a pause only a request that may be retried is let in as probe, for this time. Then any
-// request is, so that a server that gets only others is not left for ever.
+constexpr auto max_pause = milliseconds(1200);
+// For this time after a pause only retryable requests are admitted as probes. After that any
+// request is, so that a server without retryable requests is probed too.
 constexpr auto probe_reserved_for_retryable = milliseconds(500);
-// A probe may take long; the next one is let in after this time.
+// A probe may take long, so the next one is admitted after this time.
 constexpr auto probe_interval = seconds(1);
 
 }  // namespace
@@ -44,17 +44,16 @@
 
 void circuit_breaker::on_failure(TimePoint now) {
   const auto open_for = [&](Duration pause) { this->state = open{now + pause, pause}; };
-  std::visit(overloaded{[&](closed& s) {
-                          ++s.failures;
-                          if (s.failures >= failures_to_open) {
-                            open_for(first_pause);
-                          }
-                        },
-                        [](const open&) {},  // admitted before the breaker opened
-                        [&](const half_open& s) {
-                          open_for(std::min<Duration>(s.pause * 2, longest_pause));
-                        }},
-             this->state);
+  std::visit(
+      overloaded{[&](closed& s) {
+                   ++s.failures;
+                   if (s.failures >= failures_to_open) {
+                     open_for(first_pause);
+                   }
+                 },
+                 [](const open&) {},  // The request was admitted before the breaker opened.
+                 [&](const half_open& s) { open_for(std::min<Duration>(s.pause * 2, max_pause)); }},
+      this->state);
 }
 
 void circuit_breaker::on_unknown(TimePoint now) {
--- a/core/admission/circuit_breaker.h
+++ b/core/admission/circuit_breaker.h
@@ -1,13 +1,14 @@
-// Decides whether requests may go to a server that has failed requests lately.
+// Circuit breaker of one server, driven by the outcomes of its requests.
 //
-// Input: how each admitted request ended, and for each new one whether it may be retried. Output:
-// admit or not. Owns the state of one server: closed (all are admitted), open (none until a pause
-// has passed), half-open (one probe is under way). Pure, not thread safe.
+// Input: how each admitted request ended, and whether each new request may be retried. Output:
+// admit or refuse. Owns the state of one server: closed (all requests are admitted), open (none is
+// admitted until a pause has passed) or half-open (one probe is in flight). No I/O; not thread
+// safe.
 //
-// The proxy beside a server sees every answer of it, so it finds out with the fewest failed
-// requests. What it refuses has provably not run and goes to another server at no cost to any
-// retry budget. If each caller had to find out by itself, the failures would grow with the number
-// of callers.
+// The breaker runs in the proxy beside the server, which sees all of its answers and so detects a
+// failing server with the fewest failed requests. A request refused here provably did not run and
+// is sent to another server without a charge to any retry budget. With a breaker in each caller,
+// the number of failures would grow with the number of callers.
 #pragma once
 
 #include <cstdint>
@@ -21,16 +22,16 @@
  public:
   circuit_breaker() : state(closed{0}) {}
 
-  /// Whether a request may go to the server now. After a pause one request is admitted as probe;
-  /// `retryable` ones are preferred, since the probe may fail.
+  /// Returns whether a request may be sent to the server now. After a pause one request is admitted
+  /// as a probe. `retryable` requests are preferred, since the probe may fail.
   auto admit(bool retryable, TimePoint now) -> bool;
 
-  /// The server did an admitted request.
+  /// Records that the server completed an admitted request.
   void on_success();
-  /// The server failed an admitted request for a reason of its own.
+  /// Records that the server itself failed an admitted request.
   void on_failure(TimePoint now);
 
-  /// An admitted request ended in a way that says nothing about the server.
+  /// Records that an admitted request ended in a way that says nothing about the server.
   void on_unknown(TimePoint now);
 
   [[nodiscard]] auto is_closed() const -> bool {
@@ -39,14 +40,14 @@
 
  private:
   struct closed {
-    std::uint32_t failures;  // in a row
+    std::uint32_t failures;  // consecutive
   };
   struct open {
     TimePoint until;
     Duration pause;
   };
   struct half_open {
-    TimePoint since;  // when the probe was admitted
+    TimePoint since;  // time at which the probe was admitted
     Duration pause;
   };
 
--- a/core/admission/downstream_overload.cc
+++ b/core/admission/downstream_overload.cc
@@ -6,20 +6,21 @@
 namespace ramppond {
 namespace {
 
-// Each server of a service reports its own level, so a few answers of each are averaged. Shorter,
-// the level follows single servers; longer, each hop adds this time to the front's delay.
+// Each server of a service reports its own level, so the levels of several answers are averaged.
+// With a shorter time the level follows single servers; a longer one adds to the delay with which
+// the proxies where client requests begin learn of the level, once for each hop.
 constexpr auto level_smoothing_time = milliseconds(100);
-// A route no longer needs a service that its answers have not reported for this time.
-constexpr auto need_remembered = seconds(5);
-// Time constant of the decay of a level that is not reported any more, so that a service whose
-// answers have stopped is tried again.
+// A route is taken not to need a service that its answers have not reported for this time.
+constexpr auto need_retention = seconds(5);
+// Time constant of the decay of a level that is no longer reported. Without the decay, a service
+// whose answers have stopped would never be tried again.
 constexpr auto unreported_decay_time = milliseconds(1000);
-// In ranks. Lower levels are noise of single servers and refuse nothing.
+// In ranks. Lower levels are noise from single servers and cause no refusals.
 constexpr double min_level = 0.05;
-// Of the requests of a rank. Above, a kind of request could be starved; below, less can be kept
-// away from a service that has lost most of its servers.
+// Maximum share of the requests of a rank. With a higher one a kind of request could starve; with a
+// lower one a service that has lost most of its servers cannot be relieved enough.
 constexpr double max_shed_share = 0.8;
-// These bound memory.
+// These limits bound memory.
 constexpr std::size_t max_routes = 1024;
 constexpr std::size_t max_services = 1024;
 constexpr std::size_t max_services_a_route = 32;
@@ -52,16 +53,16 @@
     }
   }
   for (auto it = needed.begin(); it != needed.end();) {
-    if (now - it->second > need_remembered) {
+    if (now - it->second > need_retention) {
       it = needed.erase(it);
       continue;
     }
-    this->add_report(it->first, reported_level(reported, it->first), now);
+    this->record_report(it->first, reported_level(reported, it->first), now);
     ++it;
   }
 }
 
-void downstream_overload::add_report(const std::string& service, double level, TimePoint now) {
+void downstream_overload::record_report(const std::string& service, double level, TimePoint now) {
   if (this->levels.size() >= max_services && this->levels.count(service) == 0) {
     this->levels.clear();
   }
--- a/core/admission/fence_rule.h
+++ b/core/admission/fence_rule.h
@@ -1,6 +1,6 @@
-// What a proxy refuses at the fence before its server, whatever room there is.
+// Fencing: which requests a proxy refuses for its server regardless of the server's free capacity.
 //
-// Pure, thread safe.
+// Stateless and thread safe.
 #pragma once
 
 #include <cstdint>
@@ -12,16 +12,18 @@
 
 namespace ramppond {
 
-/// Nothing if the request may pass. A proxy that `ends_soon` lets nothing new begin.
+/// Returns the refusal that `verdict` calls for, or std::nullopt if the request is admitted. A
+/// proxy that `ends_soon` admits no new requests.
 [[nodiscard]] auto refusal_at_fence(FenceVerdict verdict, bool ends_soon)
     -> std::optional<inbound_refusal>;
 
-// With a larger share, requests reach the server when it takes nothing more; with a smaller one,
-// many that were sent before their senders knew of the draining have to be sent to another server.
+// The drain timeout is divided by this. A smaller divisor lets requests reach the server when it
+// accepts nothing more. A larger one refuses many requests that were sent before their senders
+// learned of the draining, so that they have to be sent to another server.
 constexpr std::int64_t draining_admission_divisor = 3;
 
-/// How long a draining server is given requests that are still on their way to it. `drain_timeout`
-/// is what it has from its first draining heartbeat until it takes nothing more.
+/// Returns how long requests that are still in transit to a draining server are dispatched to it.
+/// `drain_timeout` is the time from its first draining heartbeat until it accepts no more requests.
 [[nodiscard]] constexpr auto draining_admission_time(Duration drain_timeout) -> Duration {
   return drain_timeout / draining_admission_divisor;
 }
--- a/core/admission/inbound_refusal.h
+++ b/core/admission/inbound_refusal.h
@@ -1,9 +1,10 @@
-// The closed list of answers that a proxy gives in place of its own server, with one table of what
-// each of them means for the proxy that sent the request.
+// The refusals that a proxy sends in place of its own server's answer, and what each of them means
+// for the proxy that sent the request.
 //
-// Most are made before the server gets the request: it provably did not run and may be tried
-// elsewhere without a retry budget. Two are made after the server had it. The words of the wire and
-// the header that carries them belong to daemon/proxy. Pure, thread safe.
+// Most refusals are made before the request is dispatched: the request provably did not run and may
+// be sent to another server without using a retry budget. declared_not_run and connection_lost are
+// made after the server received it. The encoding on the wire belongs to daemon/proxy. Stateless
+// and thread safe.
 #pragma once
 
 #include <cstdint>
@@ -12,35 +13,35 @@
 namespace ramppond {
 
 enum class inbound_refusal : std::uint8_t {
-  draining,             // the server leaves, or this proxy ends soon
-  other_instance,       // the request was meant for another instance, or no server is known
-  trial_elsewhere,      // its quarantine trial belongs to another server of the service
-  isolation_timed_out,  // other suspected requests ran for as long as it may wait
+  draining,             // the server is leaving, or this proxy ends soon
+  other_instance,       // the request was addressed to another instance, or no server is known
+  trial_elsewhere,      // its quarantine trial is assigned to another server of the service
+  isolation_timed_out,  // other suspected requests ran for as long as it was allowed to wait
   blocked,              // it crashes the servers that run it
   breaker_open,         // the server fails its requests
-  queue_full,           // no room, and its wait would exceed its patience, or too many wait
-  queue_timeout,        // no room came free while it waited
-  beyond_rate,          // the server names a rate that leaves no place within its patience
-  deadline_near,        // too little of its time was left when there was room
-  not_confirmed,        // its sender did not send the end of the request that was held back
-  no_socket,            // this proxy has no socket left
-  no_connection,        // the server takes no further connection at present
-  server_gone,          // the server's address refuses connections and none stands
-  declared_not_run,     // the server received it and says that it did not run
-  connection_lost,      // the server had it, and the connection ended before an answer
+  queue_full,           // no free slot, and its wait would exceed its patience or the queue is full
+  queue_timeout,        // no slot became free while it waited
+  beyond_rate,          // the rate that the server names has no token for it within its patience
+  deadline_near,        // too little time was left when a slot became free
+  not_confirmed,        // its sender did not send the end of the request, which it had held back
+  no_socket,            // this proxy has no file descriptor left
+  no_connection,        // the server accepts no further connection at present
+  server_gone,          // the server's address refuses connections and none is open
+  declared_not_run,     // the server received it and declares that it did not run
+  connection_lost,      // the server received it, and the connection ended before an answer
 };
 
-/// What is known of a refused request, and so where it may go on.
+/// What is known about a refused request, which decides where it may be sent next.
 enum class refusal_kind : std::uint8_t {
-  busy,       // not handed to the server, for want of room
-  fenced,     // not handed to the server: that instance takes nothing more
-  elsewhere,  // not handed to this server, for what is known of the request
-  blocked,    // not handed to any server, for what is known of the request
-  not_run,    // handed to the server, which says that it did not run
-  unknown,    // handed to the server, and may have run
+  busy,       // not dispatched, because the server has no capacity for it
+  fenced,     // not dispatched, because that instance accepts no requests
+  elsewhere,  // not dispatched to this server, because the request is suspected of crashes
+  blocked,    // not dispatched to any server, because the request crashes servers
+  not_run,    // dispatched to the server, which declares that it did not run
+  unknown,    // dispatched to the server, and may have run
 };
 
-/// The counter of the proxy that a refusal adds one to.
+/// The counter of the proxy that a refusal increments.
 enum class refusal_counter : std::uint8_t { none, fenced, refused, breaker, blocked };
 
 struct refusal_traits {
@@ -50,6 +51,7 @@
   refusal_counter counter;
 };
 
+/// Returns the row of the refusal table for `refusal`.
 [[nodiscard]] auto traits_of(inbound_refusal refusal) -> refusal_traits;
 
 }  // namespace ramppond
--- a/core/admission/isolation_rule.cc
+++ b/core/admission/isolation_rule.cc
@@ -7,26 +7,28 @@
 namespace ramppond {
 namespace {
 
-// Of the time left. A lightly suspected request goes on beside others after its wait: more than a
-// quarter would make many innocent requests late. A heavily suspected one is refused: more than a
-// half would leave no time for another server, less would refuse requests that could still run.
+// The time until the deadline is divided by these. A lightly suspected request is dispatched after
+// its wait even if it is not alone; waiting for more than a quarter of the time would make many
+// innocent requests late. A heavily suspected request is refused; waiting for more than half of the
+// time would leave too little for another server, and waiting for less would refuse requests that
+// could still run.
 constexpr std::int64_t light_divisor = 4;
 constexpr std::int64_t heavy_divisor = 2;
 
 }  // namespace
 
-auto dispatch_mode_of(const suspicion_state& held, bool has_trial) -> beginning {
+auto dispatch_mode_of(const suspicion_state& held, bool has_trial) -> dispatch_mode {
   return std::visit(
-      overloaded{[](const unsuspected&) { return beginning(dispatch_shared{}); },
+      overloaded{[](const unsuspected&) { return dispatch_mode(dispatch_shared{}); },
                  [](const suspected& s) {
-                   return beginning(
+                   return dispatch_mode(
                        dispatch_isolated{s.crashes == 1 ? suspicion::light : suspicion::heavy});
                  },
                  [&](const on_trial&) {
-                   return has_trial ? beginning(dispatch_isolated{suspicion::heavy})
-                                    : beginning(dispatch_elsewhere{});
+                   return has_trial ? dispatch_mode(dispatch_isolated{suspicion::heavy})
+                                    : dispatch_mode(dispatch_elsewhere{});
                  },
-                 [](const blocked& b) { return beginning(dispatch_blocked{b.until}); }},
+                 [](const blocked& b) { return dispatch_mode(dispatch_blocked{b.until}); }},
       held);
 }
 
--- a/core/admission/isolation_rule.h
+++ b/core/admission/isolation_rule.h
@@ -1,8 +1,9 @@
-// How a request begins at its server by what is known of the crashes that it may have caused:
-// beside others, alone among suspected ones, or not at all.
+// Decides how a request is dispatched by the server crashes that it may have caused: without
+// restriction, isolated from other suspected requests, or not at all.
 //
-// A request that runs alone makes the next crash of the server tell whether it is the cause. Its
-// wait for that is bounded by a share of its time. Pure, thread safe.
+// When a suspected request runs without other suspected ones, the next crash of the server shows
+// whether it is the cause. The wait for isolation is bounded by a share of the time until the
+// deadline. Stateless and thread safe.
 #pragma once
 
 #include <cstdint>
@@ -16,34 +17,37 @@
 namespace ramppond {
 
 enum class suspicion : std::uint8_t {
-  light,  // it was under way at one crash, and is most likely innocent
-  heavy,  // at more than one, or it is on trial
+  light,  // in flight at one crash, and most likely innocent
+  heavy,  // in flight at more than one crash, or on trial
 };
 
+/// The request is dispatched regardless of what else runs at the server.
 struct dispatch_shared {};
-/// It waits until no other suspected request runs at the server.
+/// The request waits until no other suspected request runs at the server.
 struct dispatch_isolated {
   suspicion level;
 };
-/// Other servers of the service may run it.
+/// Only other servers of the service may run the request.
 struct dispatch_elsewhere {};
-/// No server runs it before `blocked_until`.
+/// No server runs the request before `blocked_until`.
 struct dispatch_blocked {
   TimePoint blocked_until;
 };
-using beginning =
+using dispatch_mode =
     std::variant<dispatch_shared, dispatch_isolated, dispatch_elsewhere, dispatch_blocked>;
 
-/// `has_trial` is whether a request on trial would run at this server; for others it is not used.
-[[nodiscard]] auto dispatch_mode_of(const suspicion_state& held, bool has_trial) -> beginning;
+/// Returns how a request with this suspicion state is dispatched. `has_trial` tells whether this
+/// server runs the trial of the request; it is used only for requests on trial.
+[[nodiscard]] auto dispatch_mode_of(const suspicion_state& held, bool has_trial) -> dispatch_mode;
 
-/// How long a request with `left` until its deadline waits to run alone. One whose end is held back
-/// by its sender waits no longer than its `patience`, after which the sender tries another server.
+/// Returns how long a request with `left` until its deadline waits for isolation. A request whose
+/// end is held back by its sender waits no longer than its `patience`, since the sender tries
+/// another server after that.
 [[nodiscard]] auto isolation_timeout(suspicion level, Duration left,
                                      std::optional<Duration> patience) -> Duration;
 
-/// What follows when it has waited for that in vain: a refusal, or nothing if it begins beside
-/// others.
+/// Returns the refusal for a request that could not be isolated within its timeout, or std::nullopt
+/// if it is dispatched without isolation.
 [[nodiscard]] auto refusal_after_isolation_timeout(suspicion level)
     -> std::optional<inbound_refusal>;
 
--- a/core/admission/overload_controller.cc
+++ b/core/admission/overload_controller.cc
@@ -6,26 +6,27 @@
 namespace ramppond {
 namespace {
 
-// Pressure: all slots in use and a queue of 0.4 pressing waits. With a lower target slots are idle
-// at times; with a higher one more trees lose a call.
+// All slots in use and an expected wait of 0.4 reference waits. With a lower target slots are idle
+// at times; with a higher one more call trees have a call refused.
 constexpr double target_pressure = 1.4;
-// Shorter, single offers move the level; longer, a step of load is met late.
+// With a shorter time single requests move the level; with a longer one the level follows a step of
+// the load late.
 constexpr auto pressure_smoothing_time = milliseconds(100);
-// Ranks for each unit of pressure beyond the target. Lower, the level swings; higher, a front that
-// learns of the level late keeps urgent trees away too.
+// Ranks for each unit of pressure above the target. With a lower gain the level oscillates. With a
+// higher one, proxies that learn of the level late refuse urgent requests too.
 constexpr double proportional_gain = 0.8;
-// Ranks a second for each unit of pressure beyond the target. Higher, the level swings; lower, a
-// lasting overload is met late.
+// Ranks per second for each unit of pressure above the target. With a higher gain the level
+// oscillates; with a lower one it follows a lasting overload late.
 constexpr double integral_gain = 0.3;
-// Waits beyond this many pressing waits count as this many. Lower, a load that doubles at once
-// looks like a small overload and the level rises too late.
-constexpr double max_pressing_waits = 2;
-// Bounds the integral part, and so the time until the level has fallen off after an overload. More
-// ranks than this can't be kept away.
+// Longer waits count as this many reference waits. With a lower maximum a load that doubles at once
+// looks like a small overload, and the level rises too late.
+constexpr double max_reference_waits = 2;
+// Maximum of the level and of its integral part, which bounds the time in which the level decays
+// after an overload. No more ranks than this can be shed.
 constexpr double max_ranks = 3;
-// Time that one offer stands for, at most: an offer after a pause says nothing about the pause.
+// Maximum time that one offer accounts for: an offer after a pause says nothing about the pause.
 constexpr auto max_step = milliseconds(100);
-// Time constant of the decay while nothing is offered, and so nothing waits.
+// Time constant of the decay while no requests are offered, so that none waits.
 constexpr auto idle_decay_time = milliseconds(500);
 
 auto ratio(Duration part, Duration whole) -> double {
@@ -37,9 +38,9 @@
     return std::min(1.0, offered.utilization);
   }
   if (offered.reference_wait <= Duration(0)) {
-    return 1 + max_pressing_waits;
+    return 1 + max_reference_waits;
   }
-  return 1 + std::min(max_pressing_waits, ratio(offered.wait, offered.reference_wait));
+  return 1 + std::min(max_reference_waits, ratio(offered.wait, offered.reference_wait));
 }
 
 }  // namespace
--- a/core/admission/run_outcome.cc
+++ b/core/admission/run_outcome.cc
@@ -6,10 +6,10 @@
 constexpr int server_error = 500;
 constexpr int gateway_timeout = 504;
 
-// A server whose call has failed fails its own request for that, within this time. With less, a
-// failing service opens the breakers of the sound servers that call it; with more, a server that
-// fails on its own hides behind unrelated failures.
-constexpr auto failed_call_shows = milliseconds(20);
+// A server whose call failed fails its own request because of it within this time. With less, a
+// failing service opens the circuit breakers of the healthy servers that call it. With more, a
+// server's own failures are attributed to unrelated failed calls.
+constexpr auto failed_call_window = milliseconds(20);
 
 }  // namespace
 
@@ -69,8 +69,8 @@
     case ServerOutcome::kNotRun:
       return breaker_signal::failure;
     case ServerOutcome::kFailed:
-      return since_failed_call < failed_call_shows ? breaker_signal::unknown
-                                                   : breaker_signal::failure;
+      return since_failed_call < failed_call_window ? breaker_signal::unknown
+                                                    : breaker_signal::failure;
     case ServerOutcome::kLost:
       return reused_connection ? breaker_signal::unknown : breaker_signal::failure;
     case ServerOutcome::kDeadline:
--- a/core/admission/server_admission.cc
+++ b/core/admission/server_admission.cc
@@ -6,28 +6,28 @@
 namespace ramppond {
 namespace {
 
-// Of the server's slots. Above, servers slow down, since they do when nearly full; below, slots
-// stay idle while requests are refused.
+// Share of the server's slots that is used. Servers slow down when nearly full. With a lower share
+// slots stay idle while requests are refused.
 constexpr std::uint32_t kUsableSlotsPercent = 94;
-// Bounds memory, whatever the patience of the requests that wait.
+// Maximum length of the queue. Bounds memory regardless of the patience of the waiting requests.
 constexpr std::size_t kMaximumWaiting = 512;
 // The inverse of one outcome's weight in the smoothed share of failed requests.
 constexpr std::int64_t kFailedShareSmoothingDivisor = 16;
-// A client's request may be taken for a call until the origin of its route is known. The rank that
-// it set for calls is forgotten after this time.
-constexpr Duration kCallPriorityRemembered = seconds(5);
+// Until the origin of a route is known, a client's request may be taken for a call. The priority
+// that it set for calls expires after this time.
+constexpr Duration kCallPriorityRetention = seconds(5);
 constexpr double kThousandths = 1000;
 
 }  // namespace
 
 void ServerAdmission::setSlots(std::uint32_t slots, std::uint32_t max_connections) {
-  const std::uint32_t most = max_connections == 0 ? slots : std::min(slots, max_connections);
-  const std::uint64_t usable = std::uint64_t{most} * kUsableSlotsPercent / 100;
+  const std::uint32_t capacity = max_connections == 0 ? slots : std::min(slots, max_connections);
+  const std::uint64_t usable = std::uint64_t{capacity} * kUsableSlotsPercent / 100;
   limit_ = std::max<std::uint32_t>(1, static_cast<std::uint32_t>(usable));
 }
 
 void ServerAdmission::noteCallPriority(std::uint32_t priority, TimePoint now) {
-  const bool forgotten = now - most_urgent_call_seen_ > kCallPriorityRemembered;
+  const bool forgotten = now - most_urgent_call_seen_ > kCallPriorityRetention;
   if (forgotten || priority <= most_urgent_call_.value_or(priority)) {
     most_urgent_call_ = priority;
     most_urgent_call_seen_ = now;
@@ -42,18 +42,18 @@
   return {rank, due, arrivals_++};
 }
 
-std::size_t ServerAdmission::turnOf(const Position& position) const {
+std::size_t ServerAdmission::requestsUpTo(const Position& position) const {
   const auto ahead = std::distance(waiting_.begin(), waiting_.lower_bound(position));
   return static_cast<std::size_t>(ahead) + 1;
 }
 
 Duration ServerAdmission::waitForSlot(const Position& position) const {
   return service_time_.smoothed().value_or(kInitialServiceTime) *
-         static_cast<std::int64_t>(turnOf(position)) / static_cast<std::int64_t>(limit_);
+         static_cast<std::int64_t>(requestsUpTo(position)) / static_cast<std::int64_t>(limit_);
 }
 
 Duration ServerAdmission::waitForRate(const Position& position, TimePoint now) const {
-  return rate_.wait_for(turnOf(position), now);
+  return rate_.wait_for(requestsUpTo(position), now);
 }
 
 double ServerAdmission::utilization(TimePoint now) const {
@@ -125,7 +125,7 @@
   }
   for (const auto& [position, waiting] : waiting_) {
     if (waiting.until < now) {
-      continue;  // takeExpired() returns it.
+      continue;  // Returned by takeExpired().
     }
     if (!rate_.take(now)) {
       return std::nullopt;
--- a/core/admission/service_times.cc
+++ b/core/admission/service_times.cc
@@ -5,9 +5,9 @@
 namespace ramppond {
 namespace {
 
-// The inverse of one request's weight in the smoothed time.
+// Inverse of the weight of one request in the smoothed time.
 constexpr std::int64_t smoothing_divisor = 16;
-// Bounds memory; times of further routes stay unknown.
+// Bounds memory. Service times of further routes stay unknown.
 constexpr std::size_t max_routes = 256;
 
 }  // namespace
--- a/core/admission/service_times.h
+++ b/core/admission/service_times.h
@@ -1,13 +1,13 @@
-// Estimates how long one server takes for a request, over all routes or by route.
+// Estimates the service time of one server, over all routes or by route.
 //
-// Input: when each request was dispatched to the server, when it ended and whether the server did
-// it (`TimePoint`s in microseconds). Output: a service time, which the queue in front of the server
-// and the choice among servers reckon with. Owns the estimates; relies on one on_ended() for each
-// on_begun(). Pure, not thread safe.
+// Input: when each request was dispatched to the server, when it ended and whether the server
+// completed it (`TimePoint`s in microseconds). Output: a service time, used by the queue in front
+// of the server and by load balancing. Owns the estimates. Relies on one on_ended() for each
+// on_begun(). No I/O; not thread safe.
 //
-// The choice among servers compares times of the same route only: requests of one route may take
-// many times as long as those of another and no two servers have the same mix, so mean times over
-// all routes say little about speed.
+// Load balancing compares the times of the same route only. Requests of one route may take many
+// times as long as those of another and no two servers have the same mix, so mean times over all
+// routes say little about the speed of a server.
 #pragma once
 
 #include <cstdint>
@@ -19,42 +19,43 @@
 
 namespace ramppond {
 
-/// The service time of one kind of request at one server.
+/// Estimates the service time of one kind of request at one server.
 class service_time_estimate {
  public:
   service_time_estimate() = default;
-  /// `initial` stands for the service time until requests were done.
+  /// `initial` is used until the first request is completed.
   explicit service_time_estimate(Duration initial) : smoothed_time(initial) {}
 
   void on_begun(TimePoint now);
 
-  /// `done` tells whether the server did the request that began at `begun`. One that it failed at
-  /// once says nothing about its speed. Ignored if nothing is under way.
+  /// Records the end of a request that began at `begun`. `done` tells whether the server completed
+  /// it; the duration of a failed request says nothing about the server's speed. Ignored if no
+  /// request is in flight.
   void on_ended(TimePoint begun, bool done, TimePoint now);
 
-  /// Requests that began and have not ended.
+  /// Number of requests that began and have not ended.
   [[nodiscard]] auto under_way() const -> std::int64_t { return this->begun_count; }
 
-  /// The smoothed time of requests that were done; nothing before the first.
+  /// Smoothed time of completed requests; std::nullopt before the first.
   [[nodiscard]] auto smoothed() const -> std::optional<Duration> { return this->smoothed_time; }
 
-  /// The smoothed time, or the mean age of requests under way if that is longer: a server that
-  /// turns slow shows before it answers. Nothing before the first request was done.
+  /// The smoothed time, or the mean age of the requests in flight if that is longer, so that a
+  /// slowdown shows before the server answers. std::nullopt before the first completed request.
   [[nodiscard]] auto current(TimePoint now) const -> std::optional<Duration>;
 
  private:
   std::optional<Duration> smoothed_time;
   std::int64_t begun_count = 0;
-  Duration begun_sum{0};  ///< Of the times at which requests under way began.
+  Duration begun_sum{0};  ///< Sum of the start times of the requests in flight.
 };
 
-/// The service times of one server by route.
+/// Estimates the service times of one server by route.
 class service_times {
  public:
   void on_begun(const std::string& route, TimePoint now);
   void on_ended(const std::string& route, TimePoint begun, bool done, TimePoint now);
 
-  /// As service_time_estimate::current(); nothing for routes that are not known.
+  /// As service_time_estimate::current(); std::nullopt for unknown routes.
   [[nodiscard]] auto of(const std::string& route, TimePoint now) const -> std::optional<Duration>;
 
  private:
--- a/core/admission/shedding.h
+++ b/core/admission/shedding.h
@@ -1,7 +1,7 @@
-// What a proxy knows of the requests around one when it decides whether to refuse it where it
-// begins, for overload at servers further down; see shed_share() in downstream_overload.h.
+// Inputs for the decision to refuse a client's request because of overload at servers that it would
+// call; see shed_share() in downstream_overload.h.
 //
-// Pure, thread safe.
+// Stateless and thread safe.
 #pragma once
 
 #include <cstdint>
@@ -16,15 +16,15 @@
 
 namespace ramppond {
 
-/// How many ranks of clients' requests are refused before those of `rank`. Routes that only servers
-/// call have none: a call is never refused where it begins, since that wastes what its caller has
-/// done.
+/// Returns how many ranks of client requests are refused before those of `rank`. Routes that only
+/// servers call add no ranks: a call is never refused where it begins, since that would waste the
+/// work of its caller.
 [[nodiscard]] auto less_urgent_ranks(std::uint32_t rank, const std::vector<TrafficRoute>& routes,
                                      const tenant_ranks& ranks, const call_attribution& calls)
     -> std::uint32_t;
 
-/// Overload at the services that requests of `route` need when they run at the own server: the
-/// highest level of each, over all routes that they call.
+/// Returns the overload of the services that requests of `route` need when they run at the local
+/// server: the highest level of each service over all routes that the requests call.
 [[nodiscard]] auto downstream_overload_of(const std::string& route, const call_attribution& calls,
                                           const downstream_overload& overload, TimePoint now)
     -> std::vector<service_overload>;
--- a/tests/core/admission/circuit_breaker_test.cc
+++ b/tests/core/admission/circuit_breaker_test.cc
@@ -10,7 +10,7 @@
 
 struct breaker_case {
   const char* name;
-  std::string outcomes;  // of admitted requests, in order: s, f or u
+  std::string outcomes;  // of admitted requests in order: s(uccess), f(ailure), u(nknown)
   bool closed;
 };
 
@@ -29,7 +29,7 @@
 
 class circuit_breaker_table : public testing::TestWithParam<breaker_case> {};
 
-TEST_P(circuit_breaker_table, opens_on_failures_in_a_row) {
+TEST_P(circuit_breaker_table, opens_after_consecutive_failures) {
   auto breaker = circuit_breaker();
   feed(breaker, GetParam().outcomes, seconds(1));
   EXPECT_EQ(breaker.is_closed(), GetParam().closed);
@@ -53,7 +53,7 @@
   TimePoint now = seconds(1);
 };
 
-TEST_F(open_breaker, lets_one_request_try_after_a_pause) {
+TEST_F(open_breaker, admits_one_probe_after_a_pause) {
   EXPECT_FALSE(this->breaker.admit(true, this->now + milliseconds(149)));
   EXPECT_TRUE(this->breaker.admit(true, this->now + milliseconds(150)));
   EXPECT_FALSE(this->breaker.admit(true, this->now + milliseconds(160)));
@@ -66,7 +66,7 @@
   EXPECT_TRUE(this->breaker.admit(false, this->now + milliseconds(650)));
 }
 
-TEST_F(open_breaker, waits_longer_each_time_up_to_a_bound) {
+TEST_F(open_breaker, failed_probe_doubles_pause_up_to_the_maximum) {
   auto pause = Duration(milliseconds(150));
   for (auto i = 0; i < 10; ++i) {
     this->now += pause;
@@ -77,12 +77,12 @@
   }
 }
 
-TEST_F(open_breaker, late_failures_of_earlier_requests_change_nothing) {
+TEST_F(open_breaker, late_failures_of_earlier_requests_are_ignored) {
   feed(this->breaker, "fff", this->now + milliseconds(140));
   EXPECT_TRUE(this->breaker.admit(true, this->now + milliseconds(150)));
 }
 
-TEST_F(open_breaker, a_withdrawn_trial_makes_room_for_the_next) {
+TEST_F(open_breaker, unknown_probe_outcome_admits_the_next_probe) {
   ASSERT_TRUE(this->breaker.admit(true, this->now + milliseconds(150)));
   this->breaker.on_unknown(this->now + milliseconds(151));
   EXPECT_TRUE(this->breaker.admit(true, this->now + milliseconds(152)));
--- a/tests/core/admission/downstream_overload_test.cc
+++ b/tests/core/admission/downstream_overload_test.cc
@@ -26,14 +26,14 @@
   TimePoint now = seconds(100);
 };
 
-TEST_F(downstream_overload_test, follows_what_answers_tell) {
+TEST_F(downstream_overload_test, follows_reported_levels) {
   this->answers("fetch", {{"records", {0.8}}}, 50);
   EXPECT_NEAR(this->level("fetch", "records"), 0.8, 0.02);
   EXPECT_EQ(this->level("fetch", "desk"), 0);
   EXPECT_EQ(this->level("other", "records"), 0);
 }
 
-TEST_F(downstream_overload_test, one_pressed_server_among_many_weighs_little) {
+TEST_F(downstream_overload_test, one_overloaded_server_among_many_has_little_weight) {
   for (int round = 0; round < 20; ++round) {
     this->answers("fetch", {{"records", {0}}}, 24);
     this->answers("fetch", {{"records", {1}}}, 1);
@@ -41,7 +41,7 @@
   EXPECT_LT(this->level("fetch", "records"), 0.2);
 }
 
-TEST_F(downstream_overload_test, a_service_that_is_not_reported_any_more_is_forgotten) {
+TEST_F(downstream_overload_test, unreported_service_is_forgotten) {
   this->answers("fetch", {{"records", {1}}}, 50);
   this->answers("fetch", {}, 50);
   EXPECT_EQ(this->level("fetch", "records"), 0);
@@ -50,7 +50,7 @@
   EXPECT_EQ(this->level("fetch", "records"), 0);
 }
 
-TEST(strictest_levels, the_highest_of_each_service_counts) {
+TEST(strictest_levels, takes_the_maximum_of_each_service) {
   const auto merged =
       highest_levels({{"a", {0.2}}, {"b", {0.9}}}, {{"b", {0.4}}, {"a", {0.5}}, {"c", {1}}});
   ASSERT_EQ(merged.size(), 3U);
@@ -73,7 +73,7 @@
 
 class shed_share_table : public testing::TestWithParam<share_case> {};
 
-TEST_P(shed_share_table, takes_the_least_urgent_first) {
+TEST_P(shed_share_table, sheds_the_least_urgent_rank_first) {
   EXPECT_DOUBLE_EQ(shed_share({GetParam().level}, GetParam().less_urgent), GetParam().share);
 }
 
--- a/tests/core/admission/fence_rule_test.cc
+++ b/tests/core/admission/fence_rule_test.cc
@@ -22,7 +22,7 @@
 
 class fence_table : public testing::TestWithParam<fence_case> {};
 
-TEST_P(fence_table, refuses_what_may_not_begin) {
+TEST_P(fence_table, maps_verdict_to_refusal) {
   EXPECT_EQ(refusal_at_fence(GetParam().verdict, GetParam().ends_soon), GetParam().refusal);
 }
 
@@ -43,7 +43,7 @@
                    inbound_refusal::draining}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(draining_admission, has_a_third_of_the_drain_timeout) {
+TEST(draining_admission, is_a_third_of_the_drain_timeout) {
   EXPECT_EQ(draining_admission_time(milliseconds(2100)), milliseconds(700));
 }
 
--- a/tests/core/admission/inbound_refusal_test.cc
+++ b/tests/core/admission/inbound_refusal_test.cc
@@ -27,7 +27,7 @@
 
 class inbound_refusal_table : public testing::TestWithParam<refusal_case> {};
 
-TEST_P(inbound_refusal_table, has_its_terms) {
+TEST_P(inbound_refusal_table, has_expected_traits) {
   const auto terms = traits_of(GetParam().refusal);
   EXPECT_EQ(terms.kind, GetParam().kind);
   EXPECT_EQ(terms.reason, GetParam().reason);
--- a/tests/core/admission/isolation_rule_test.cc
+++ b/tests/core/admission/isolation_rule_test.cc
@@ -10,7 +10,7 @@
 namespace ramppond {
 namespace {
 
-auto text_of(const beginning& begins) -> std::string {
+auto text_of(const dispatch_mode& begins) -> std::string {
   return std::visit(overloaded{[](const dispatch_shared&) { return std::string("beside others"); },
                                [](const dispatch_isolated& b) {
                                  return std::string(b.level == suspicion::light ? "alone, light"
@@ -23,7 +23,7 @@
                     begins);
 }
 
-struct beginning_case {
+struct dispatch_mode_case {
   const char* name;
   suspicion_state held;
   bool has_trial;
@@ -31,27 +31,28 @@
 };
 
 // Keeps the name of a test the same in every run.
-void PrintTo(const beginning_case& tested, std::ostream* out) {
+void PrintTo(const dispatch_mode_case& tested, std::ostream* out) {
   *out << tested.name;
 }
 
-class beginning_table : public testing::TestWithParam<beginning_case> {};
+class dispatch_mode_table : public testing::TestWithParam<dispatch_mode_case> {};
 
-TEST_P(beginning_table, follows_from_what_is_known) {
+TEST_P(dispatch_mode_table, follows_the_suspicion_state) {
   EXPECT_EQ(text_of(dispatch_mode_of(GetParam().held, GetParam().has_trial)), GetParam().begins);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    table, beginning_table,
-    testing::Values(beginning_case{"unsuspected", unsuspected{}, false, "beside others"},
-                    beginning_case{"one_crash", suspected{1}, false, "alone, light"},
-                    beginning_case{"two_crashes", suspected{2}, false, "alone, heavy"},
-                    beginning_case{"many_crashes", suspected{9}, true, "alone, heavy"},
-                    beginning_case{"trial_here", on_trial{}, true, "alone, heavy"},
-                    beginning_case{"trial_elsewhere", on_trial{}, false, "elsewhere"},
-                    beginning_case{"blocked", blocked{seconds(7)}, false, "nowhere until 7000000"},
-                    beginning_case{"blocked_at_the_place_of_its_trial", blocked{seconds(7)}, true,
-                                   "nowhere until 7000000"}),
+    table, dispatch_mode_table,
+    testing::Values(dispatch_mode_case{"unsuspected", unsuspected{}, false, "beside others"},
+                    dispatch_mode_case{"one_crash", suspected{1}, false, "alone, light"},
+                    dispatch_mode_case{"two_crashes", suspected{2}, false, "alone, heavy"},
+                    dispatch_mode_case{"many_crashes", suspected{9}, true, "alone, heavy"},
+                    dispatch_mode_case{"trial_here", on_trial{}, true, "alone, heavy"},
+                    dispatch_mode_case{"trial_elsewhere", on_trial{}, false, "elsewhere"},
+                    dispatch_mode_case{"blocked", blocked{seconds(7)}, false,
+                                       "nowhere until 7000000"},
+                    dispatch_mode_case{"blocked_at_the_place_of_its_trial", blocked{seconds(7)},
+                                       true, "nowhere until 7000000"}),
     [](const auto& info) { return std::string(info.param.name); });
 
 struct wait_case {
@@ -66,15 +67,15 @@
   *out << tested.name;
 }
 
-class isolation_time_table : public testing::TestWithParam<wait_case> {};
+class isolation_timeout_table : public testing::TestWithParam<wait_case> {};
 
-TEST_P(isolation_time_table, is_a_share_of_the_time_left) {
+TEST_P(isolation_timeout_table, is_a_share_of_the_time_left) {
   const auto& tested = GetParam();
   EXPECT_EQ(isolation_timeout(tested.level, tested.left, tested.patience), tested.wait);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    table, isolation_time_table,
+    table, isolation_timeout_table,
     testing::Values(
         wait_case{"light", suspicion::light, milliseconds(800), std::nullopt, milliseconds(200)},
         wait_case{"heavy", suspicion::heavy, milliseconds(800), std::nullopt, milliseconds(400)},
@@ -87,7 +88,7 @@
         wait_case{"overdue", suspicion::heavy, -milliseconds(10), std::nullopt, -milliseconds(5)}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(isolation_in_vain, lets_lightly_suspected_requests_go_on_and_refuses_others) {
+TEST(isolation_in_vain, dispatches_lightly_suspected_and_refuses_heavily_suspected_requests) {
   EXPECT_EQ(refusal_after_isolation_timeout(suspicion::light), std::nullopt);
   EXPECT_EQ(refusal_after_isolation_timeout(suspicion::heavy),
             inbound_refusal::isolation_timed_out);
--- a/tests/core/admission/overload_controller_test.cc
+++ b/tests/core/admission/overload_controller_test.cc
@@ -19,8 +19,8 @@
 struct level_case {
   const char* name;
   std::vector<offers> seen;
-  double least;
-  double most;
+  double min_level;
+  double max_level;
 };
 
 // Keeps the name of a test the same in every run.
@@ -30,7 +30,7 @@
 
 class overload_controller_table : public testing::TestWithParam<level_case> {};
 
-TEST_P(overload_controller_table, asks_to_keep_away) {
+TEST_P(overload_controller_table, reaches_expected_level) {
   auto controller = overload_controller();
   auto now = TimePoint(seconds(50));
   for (const auto& part : GetParam().seen) {
@@ -39,8 +39,8 @@
       controller.on_offer({part.utilization, part.wait, patience}, now);
     }
   }
-  EXPECT_GE(controller.level(now).value, GetParam().least);
-  EXPECT_LE(controller.level(now).value, GetParam().most);
+  EXPECT_GE(controller.level(now).value, GetParam().min_level);
+  EXPECT_LE(controller.level(now).value, GetParam().max_level);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -73,7 +73,7 @@
                    0.8}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(overload_controller, falls_off_when_nobody_asks) {
+TEST(overload_controller, level_decays_without_offers) {
   auto controller = overload_controller();
   auto now = TimePoint(seconds(50));
   for (; now < seconds(60); now += between_offers) {
@@ -83,7 +83,7 @@
   EXPECT_LT(controller.level(now + seconds(3)).value, 0.02);
 }
 
-TEST(overload_controller, an_offer_after_a_pause_does_not_bring_the_level_back) {
+TEST(overload_controller, offer_after_a_pause_does_not_restore_the_level) {
   auto controller = overload_controller();
   auto now = TimePoint(seconds(50));
   for (; now < seconds(60); now += between_offers) {
@@ -94,7 +94,7 @@
   EXPECT_LT(controller.level(now).value, 0.02);
 }
 
-TEST(overload_controller, who_may_not_wait_at_all_presses_only_if_it_would_have_to) {
+TEST(overload_controller, request_without_patience_adds_pressure_only_if_it_would_wait) {
   auto controller = overload_controller();
   auto now = TimePoint(seconds(50));
   for (; now < seconds(52); now += between_offers) {
--- a/tests/core/admission/run_outcome_test.cc
+++ b/tests/core/admission/run_outcome_test.cc
@@ -21,7 +21,7 @@
 
 class answer_table : public testing::TestWithParam<answer_case> {};
 
-TEST_P(answer_table, has_its_outcome) {
+TEST_P(answer_table, maps_to_outcome) {
   EXPECT_EQ(outcome_of(GetParam().head), GetParam().outcome);
 }
 
@@ -52,7 +52,7 @@
 
 class failure_table : public testing::TestWithParam<failure_case> {};
 
-TEST_P(failure_table, has_its_outcome) {
+TEST_P(failure_table, maps_to_outcome) {
   EXPECT_EQ(outcome_of(GetParam().failure), GetParam().outcome);
   EXPECT_EQ(may_be_crash(GetParam().failure), GetParam().may_be_crash);
 }
@@ -83,7 +83,7 @@
 
 class refusal_after_failure_table : public testing::TestWithParam<refusal_case> {};
 
-TEST_P(refusal_after_failure_table, tells_what_is_known) {
+TEST_P(refusal_after_failure_table, maps_to_refusal) {
   const auto& tested = GetParam();
   EXPECT_EQ(refusal_after(tested.failure, tested.progress, tested.has_other_connections),
             tested.refusal);
@@ -133,7 +133,7 @@
 
 class breaker_signal_table : public testing::TestWithParam<signal_case> {};
 
-TEST_P(breaker_signal_table, counts_what_is_the_servers_own) {
+TEST_P(breaker_signal_table, counts_only_failures_of_the_server_itself) {
   const auto& tested = GetParam();
   EXPECT_EQ(signal_of(tested.outcome, tested.reused_connection, tested.since_failed_call),
             tested.signal);
--- a/tests/core/admission/server_admission_test.cc
+++ b/tests/core/admission/server_admission_test.cc
@@ -8,7 +8,7 @@
 
 constexpr Duration kPatience = milliseconds(100);
 
-TEST(ServerAdmission, NeverMoreUnderWayThanSlots) {
+TEST(ServerAdmission, InFlightNeverExceedsSlots) {
   rc::check("under way stays within the slots, and every request ends in one way", [] {
     const auto slots = *rc::gen::inRange<std::uint32_t>(1, 40);
     const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 4));
@@ -42,7 +42,7 @@
   });
 }
 
-TEST(ServerAdmission, TheMoreUrgentGoesFirst) {
+TEST(ServerAdmission, DispatchesMoreUrgentFirst) {
   ServerAdmission admission;
   admission.setSlots(1);
   EXPECT_EQ(admission.offer({1, 2, kPatience}, TimePoint(0)), AdmissionVerdict::kDispatch);
@@ -57,7 +57,7 @@
   const char* name;
   AdmissionRequest first;  ///< Offered before the second; both must wait.
   AdmissionRequest second;
-  AdmissionId next;  ///< The one that is dispatched next.
+  AdmissionId next;  ///< The request that is dispatched next.
 };
 
 void PrintTo(const OrderRow& row, std::ostream* out) {
@@ -66,7 +66,7 @@
 
 class AdmissionOrderTest : public testing::TestWithParam<OrderRow> {};
 
-TEST_P(AdmissionOrderTest, IsByRankThenByTheTimeWhenItIsDue) {
+TEST_P(AdmissionOrderTest, IsByRankThenDueTime) {
   ServerAdmission admission;
   admission.setSlots(1);
   admission.offer({9, 0, kPatience}, TimePoint(0));
@@ -104,7 +104,7 @@
                              fromClient(2, 1, kLongPatience), 2}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(ServerAdmission, ARequestOnceTakenForACallDoesNotSetTheRankForEver) {
+TEST(ServerAdmission, CallPriorityExpires) {
   ServerAdmission admission;
   admission.setSlots(1);
   admission.offer(call(1, 0, kPatience), TimePoint(0));
@@ -116,7 +116,7 @@
   EXPECT_EQ(admission.takeDispatchable(later), AdmissionId{4});
 }
 
-TEST(ServerAdmission, WhoeverWaitsTooLongIsGivenUpOnTime) {
+TEST(ServerAdmission, WaitingRequestExpiresAtEndOfPatience) {
   ServerAdmission admission;
   admission.setSlots(1);
   admission.offer({1, 0, kPatience}, TimePoint(0));
@@ -128,7 +128,7 @@
   EXPECT_EQ(admission.takeDispatchable(kPatience), std::nullopt);
 }
 
-TEST(ServerAdmission, ARequestThatCannotBeServedInTimeIsRefusedAtOnce) {
+TEST(ServerAdmission, RefusesRequestWhoseExpectedWaitExceedsPatience) {
   ServerAdmission admission;
   admission.setSlots(1);
   for (int finished = 0; finished < 200; ++finished) {
@@ -144,7 +144,7 @@
   admission.onFinished(TimePoint(0), outcome, took);
 }
 
-TEST(ServerAdmission, LostAnswersShowAndAreForgotten) {
+TEST(ServerAdmission, FailedShareRisesAndDecays) {
   ServerAdmission admission;
   for (int lost = 0; lost < 50; ++lost) {
     finishOne(admission, lost % 2 == 0 ? ServerOutcome::kAnswered : ServerOutcome::kNoAnswer,
@@ -160,8 +160,8 @@
 struct OutcomeCase {
   const char* name;
   ServerOutcome outcome;
-  bool counts_as_work;     ///< Its duration says how fast the server is.
-  bool counts_as_failure;  ///< It raises the share of failed requests.
+  bool counts_as_completed;  ///< Its duration counts as a service time.
+  bool counts_as_failure;    ///< It raises the share of failed requests.
 };
 
 void PrintTo(const OutcomeCase& tested, std::ostream* out) {
@@ -170,13 +170,13 @@
 
 class ServerOutcomeTest : public testing::TestWithParam<OutcomeCase> {};
 
-TEST_P(ServerOutcomeTest, MovesWhatItTellsOfTheServer) {
+TEST_P(ServerOutcomeTest, UpdatesServiceTimeAndFailedShare) {
   ServerAdmission admission;
   const Duration before = admission.serviceTime(TimePoint(0));
   for (int ended = 0; ended < 100; ++ended) {
     finishOne(admission, GetParam().outcome, milliseconds(1));
   }
-  EXPECT_EQ(admission.serviceTime(TimePoint(0)) < before, GetParam().counts_as_work);
+  EXPECT_EQ(admission.serviceTime(TimePoint(0)) < before, GetParam().counts_as_completed);
   EXPECT_EQ(admission.failedPermille() > 900, GetParam().counts_as_failure);
 }
 
@@ -191,7 +191,7 @@
                     OutcomeCase{"Withdrawn", ServerOutcome::kWithdrawn, false, false}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(ServerAdmission, NeverMoreUnderWayThanConnections) {
+TEST(ServerAdmission, LimitNeverExceedsConnections) {
   ServerAdmission admission;
   admission.setSlots(100, 10);
   EXPECT_LE(admission.limit(), 10U);
@@ -199,7 +199,7 @@
   EXPECT_LE(admission.limit(), 5U);
 }
 
-TEST(ServerAdmission, AServerThatTurnsSlowShowsBeforeItAnswers) {
+TEST(ServerAdmission, ServiceTimeRisesBeforeASlowServerAnswers) {
   ServerAdmission admission;
   admission.setSlots(10);
   admission.offer({1, 0, kPatience}, TimePoint(0));
@@ -219,7 +219,7 @@
   ServerAdmission admission_;
 };
 
-TEST_F(LimitedAdmission, WaitsForItsPlaceInTheRateAndTheMoreUrgentGoesFirst) {
+TEST_F(LimitedAdmission, WaitsForRateTokenAndDispatchesMoreUrgentFirst) {
   EXPECT_EQ(admission_.offer({1, 2, kLongPatience}, TimePoint(0)), AdmissionVerdict::kWait);
   EXPECT_EQ(admission_.offer({2, 0, kLongPatience}, TimePoint(0)), AdmissionVerdict::kWait);
   EXPECT_TRUE(admission_.isRateLimited());
@@ -231,7 +231,7 @@
   EXPECT_EQ(admission_.nextRateToken(milliseconds(200)), std::nullopt);
 }
 
-TEST_F(LimitedAdmission, RefusesAtOnceWhatWouldWaitLongerThanItMay) {
+TEST_F(LimitedAdmission, RefusesRequestWhoseRateWaitExceedsPatience) {
   EXPECT_EQ(admission_.offer({1, 0, milliseconds(99)}, TimePoint(0)),
             AdmissionVerdict::kRefuseForRate);
   EXPECT_EQ(admission_.offer({2, 0, kPatience}, TimePoint(0)), AdmissionVerdict::kWait);
@@ -239,7 +239,7 @@
   EXPECT_EQ(admission_.failedPermille(), 0U);
 }
 
-TEST_F(LimitedAdmission, APlaceThatWasNotUsedIsThereAgain) {
+TEST_F(LimitedAdmission, UnusedRateTokenIsReturned) {
   const TimePoint now = milliseconds(100);
   EXPECT_EQ(admission_.offer({1, 0, kPatience}, now), AdmissionVerdict::kDispatch);
   admission_.onFinished(now, ServerOutcome::kWithdrawn, now);
@@ -247,7 +247,7 @@
   EXPECT_EQ(admission_.offer({2, 0, kPatience}, now), AdmissionVerdict::kDispatch);
 }
 
-TEST_F(LimitedAdmission, ARateThatBindsRaisesTheShedLevelWhileSlotsAreIdle) {
+TEST_F(LimitedAdmission, RateLimitRaisesShedLevelWhileSlotsAreIdle) {
   TimePoint now{0};
   for (AdmissionId id = 1; id <= 200; ++id) {
     now += milliseconds(10);
--- a/tests/core/admission/server_limit_fleet_test.cc
+++ b/tests/core/admission/server_limit_fleet_test.cc
@@ -1,5 +1,6 @@
-// Servers that name limits, on many proxies in virtual time: what reaches each server, and what
-// becomes of the requests. Counts are taken at the servers.
+// Simulates servers that name rate limits behind many proxies, in virtual time. Checks that no
+// server receives more than its limit and that the capacity is used. Requests are counted at the
+// servers.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -31,7 +32,7 @@
 constexpr std::size_t server_count = 3;
 constexpr std::uint32_t ranks = 2;
 
-/// From `from` on, in milliseconds, the server names this many requests a second; below 0: none.
+/// From `from_ms` on the server names this many requests per second; a negative value is no limit.
 struct limit_change {
   int from_ms;
   double per_second;
@@ -40,13 +41,13 @@
 struct fleet_case {
   const char* name;
   std::size_t proxies;
-  double requests_per_second;                     // of all callers
+  double requests_per_second;                     // from all callers
   std::vector<std::vector<limit_change>> limits;  // by server
-  int restart_ms;                     // the proxy beside server 0 starts anew; 0 for never
-  double served;                      // share of all requests that the limits leave room for
-  double urgent_served;               // share of the more urgent half, if it goes first
-  double use_of_server_0;             // of the limit that it names last; 0 for any
-  Duration work = milliseconds(100);  // of each request at its server
+  int restart_ms;                     // when the proxy beside server 0 restarts; 0 for never
+  double served;                      // share of all requests that the limits allow
+  double urgent_served;               // share of the more urgent half, if it is served first
+  double use_of_server_0;             // minimum share of its last limit that is used; 0 for any
+  Duration work = milliseconds(100);  // service time of each request
 };
 
 // Keeps the name of a test the same in every run.
@@ -54,18 +55,18 @@
   *out << tested.name;
 }
 
-/// One server, and what the proxy beside it knows.
+/// One server and the state of the proxy beside it.
 struct server_side {
-  std::vector<limit_change> names;
+  std::vector<limit_change> named_limits;
   std::vector<TimePoint> arrivals;
   ServerAdmission admission;
   effective_limit limit;
   std::optional<TimePoint> next_pump;
-  int starts = 0;  // of the proxy beside it
+  int starts = 0;  // restarts of the proxy beside it
 
   auto limit_at(TimePoint now) const -> named_limit {
     auto named = named_limit(no_limit{});
-    for (const auto& change : this->names) {
+    for (const auto& change : this->named_limits) {
       if (now >= milliseconds(change.from_ms)) {
         named = change.per_second < 0 ? named_limit(no_limit{})
                                       : named_limit(request_rate{change.per_second});
@@ -86,7 +87,7 @@
   fleet(const fleet_case& tested, std::uint64_t seed) : tested(tested), random(seed) {
     for (std::size_t number = 0; number < server_count; ++number) {
       this->servers.emplace_back();
-      this->servers.back().names = tested.limits.at(number);
+      this->servers.back().named_limits = tested.limits.at(number);
       this->servers.back().admission.setSlots(slots);
     }
     for (std::size_t number = 0; number < tested.proxies; ++number) {
@@ -166,16 +167,16 @@
     }
     request->tried.insert(chosen->record.proxy_address);
     directory.onSent(*chosen, this->now);
-    const auto told = chosen->rate();
-    this->at(this->now + link_delay, [this, request, chosen, told] {
-      this->offer(std::stoul(chosen->record.proxy_address), request, *chosen, told);
+    const auto reported_rate = chosen->rate();
+    this->at(this->now + link_delay, [this, request, chosen, reported_rate] {
+      this->offer(std::stoul(chosen->record.proxy_address), request, *chosen, reported_rate);
     });
   }
 
   void offer(std::size_t number, const std::shared_ptr<sent_request>& request, KnownInstance& known,
-             const std::optional<rate_load>& told) {
+             const std::optional<rate_load>& reported_rate) {
     auto& server = this->servers[number];
-    if (told && server.limit.on_peer_report(told->limit, this->now)) {
+    if (reported_rate && server.limit.on_peer_report(reported_rate->limit, this->now)) {
       server.admission.setRate(server.limit.rate(), this->now);
     }
     const auto id = this->next_number++;
@@ -271,7 +272,7 @@
     });
   }
 
-  // The answers to what the server runs are lost with it.
+  // The restarted proxy loses the answers to the requests in flight.
   void restart() {
     auto& server = this->servers[0];
     server.starts += 1;
@@ -297,76 +298,78 @@
   std::array<std::uint64_t, ranks> served{};
 };
 
-/// The most arrivals in any window that begins between `from` and `until`.
-auto most_in_a_window(const std::vector<TimePoint>& arrivals, TimePoint from, TimePoint until)
+/// Returns the maximum number of arrivals in any window between `from` and `until`.
+auto max_arrivals_in_window(const std::vector<TimePoint>& arrivals, TimePoint from, TimePoint until)
     -> std::size_t {
-  auto most = std::size_t(0);
+  auto maximum = std::size_t(0);
   for (auto first = std::lower_bound(arrivals.begin(), arrivals.end(), from);
        first != arrivals.end() && *first + window <= until; ++first) {
     const auto last = std::upper_bound(first, arrivals.end(), *first + window);
-    most = std::max(most, static_cast<std::size_t>(last - first));
+    maximum = std::max(maximum, static_cast<std::size_t>(last - first));
   }
-  return most;
+  return maximum;
 }
 
 class server_limit_fleet : public testing::TestWithParam<fleet_case> {
  protected:
-  static constexpr auto day = Duration(seconds(30));
-  static constexpr auto last_part = Duration(seconds(10));
-  // Of what there is room for.
-  static constexpr auto well_used = 0.9;
+  static constexpr auto run_time = Duration(seconds(30));
+  static constexpr auto measured_time = Duration(seconds(10));
+  // Minimum share of the available capacity.
+  static constexpr auto min_used_share = 0.9;
 
   static void expect_limits_kept(const server_side& server) {
-    // Until an answer has named the limit and half a second more has gone by.
-    const auto until_told = GetParam().work + milliseconds(600);
-    for (std::size_t change = 0; change < server.names.size(); ++change) {
-      const auto limit = server.names[change].per_second;
+    // The limit applies once an answer has named it; half a second more is allowed.
+    const auto until_named = GetParam().work + milliseconds(600);
+    for (std::size_t change = 0; change < server.named_limits.size(); ++change) {
+      const auto limit = server.named_limits[change].per_second;
       if (limit < 0) {
         continue;
       }
-      const auto from = milliseconds(server.names[change].from_ms) + until_told;
-      const auto last = change + 1 == server.names.size();
-      const auto until =
-          last ? TimePoint(day) : TimePoint(milliseconds(server.names[change + 1].from_ms));
-      EXPECT_LE(static_cast<double>(most_in_a_window(server.arrivals, from, until)),
+      const auto from = milliseconds(server.named_limits[change].from_ms) + until_named;
+      const auto last = change + 1 == server.named_limits.size();
+      const auto until = last ? TimePoint(run_time)
+                              : TimePoint(milliseconds(server.named_limits[change + 1].from_ms));
+      EXPECT_LE(static_cast<double>(max_arrivals_in_window(server.arrivals, from, until)),
                 std::max(limit, 0.25) * (4 + 0.25) + 1)
-          << "limit " << limit << " from " << server.names[change].from_ms;
+          << "limit " << limit << " from " << server.named_limits[change].from_ms;
     }
   }
 
-  /// Share of the limit named last that was used in the last part of the day.
-  static auto used_at_the_end(const server_side& server) -> double {
-    if (server.names.empty() || server.names.back().per_second <= 0) {
+  /// Returns the share of the last limit that was used in the last part of the run.
+  static auto used_share_at_end(const server_side& server) -> double {
+    if (server.named_limits.empty() || server.named_limits.back().per_second <= 0) {
       return 0;
     }
-    const auto used = std::count_if(server.arrivals.begin(), server.arrivals.end(),
-                                    [](TimePoint time) { return time >= day - last_part; });
-    const auto room = server.names.back().per_second * 10;
-    return static_cast<double>(used) / room;
+    const auto used =
+        std::count_if(server.arrivals.begin(), server.arrivals.end(),
+                      [](TimePoint time) { return time >= run_time - measured_time; });
+    const auto capacity = server.named_limits.back().per_second * 10;
+    return static_cast<double>(used) / capacity;
   }
 };
 
-TEST_P(server_limit_fleet, keeps_each_limit_and_uses_what_room_there_is) {
+TEST_P(server_limit_fleet, keeps_each_limit_and_uses_available_capacity) {
   constexpr auto seeds = std::uint64_t(4);
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    auto played = fleet(GetParam(), seed);
-    played.run(day);
-    for (const auto& server : played.servers) {
+    auto simulation = fleet(GetParam(), seed);
+    simulation.run(run_time);
+    for (const auto& server : simulation.servers) {
       expect_limits_kept(server);
     }
-    EXPECT_GE(played.share_served(), well_used * GetParam().served);
-    EXPECT_GE(played.share_served(0), well_used * GetParam().urgent_served);
-    EXPECT_GE(used_at_the_end(played.servers[0]), well_used * GetParam().use_of_server_0);
+    EXPECT_GE(simulation.share_served(), min_used_share * GetParam().served);
+    EXPECT_GE(simulation.share_served(0), min_used_share * GetParam().urgent_served);
+    EXPECT_GE(used_share_at_end(simulation.servers[0]),
+              min_used_share * GetParam().use_of_server_0);
   }
 }
 
 const auto unlimited = std::vector<limit_change>();
 const auto ten = std::vector<limit_change>{{5000, 10}};
 
-// What is to be served follows from the limits: with all three at 10 a second from second 5 on, 650
-// of 3,900 requests come before and 750 of the others fit, so 0.359 of all and, the urgent first,
-// 1,075 of the 1,950 urgent ones.
+// The expected shares follow from the limits. With all three servers at 10 requests per second from
+// second 5 on, 650 of 3,900 requests arrive before and 750 of the others are within the limits.
+// That is 0.359 of all requests and, urgent ones first, 1,075 of the 1,950 urgent ones.
 INSTANTIATE_TEST_SUITE_P(
     table, server_limit_fleet,
     testing::Values(
--- a/tests/core/admission/shedding_test.cc
+++ b/tests/core/admission/shedding_test.cc
@@ -17,14 +17,14 @@
   return route;
 }
 
-/// Requests of a route begin here while nothing runs that could call them: they come from clients.
+/// Requests of `route` begin while no run could have called them, so they come from clients.
 void clients_send(call_attribution& calls, const std::string& route) {
   for (auto i = 0; i < 10; ++i) {
     calls.on_request(route, now + seconds(5));
   }
 }
 
-/// A run of `caller` makes calls of `route`.
+/// A run of `caller` calls `route`.
 void server_calls(call_attribution& calls, const std::string& caller, const std::string& route) {
   calls.on_begun(1, caller, now + seconds(2));
   for (auto i = 0; i < 10; ++i) {
--- a/tests/core/admission/tree_shedding_test.cc
+++ b/tests/core/admission/tree_shedding_test.cc
@@ -1,5 +1,5 @@
-// Trees of calls over one scarce service, in virtual time: what the level that the scarce server
-// asks for does when the front keeps the least urgent trees away, and what happens without it.
+// Simulates call trees over one overloaded service in virtual time, with and without shedding of
+// the least urgent trees by the level that the overloaded server reports.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -21,11 +21,11 @@
 constexpr auto length = seconds(20);
 constexpr std::uint32_t rank_of_calls = 1;
 
-struct kind_of_tree {
+struct tree_kind {
   const char* name;
   std::uint32_t rank;         // of its root
-  std::uint32_t less_urgent;  // ranks below it
-  int calls;                  // one after the other, at the scarce service
+  std::uint32_t less_urgent;  // number of less urgent ranks
+  int calls;                  // sequential, at the overloaded service
   double per_second;
 };
 
@@ -36,12 +36,12 @@
   int complete = 0;
 };
 
-/// One run of a scarce service under trees of two kinds.
+/// Simulates an overloaded service that is called by trees of several kinds.
 class tree_run {
  public:
-  /// `report_delay`: from an answer of the scarce server to the moment at which the front knows the
-  /// level that came with it.
-  tree_run(std::vector<kind_of_tree> kinds, bool shedding, Duration report_delay)
+  /// `report_delay`: time from an answer of the overloaded server until the proxy that sheds
+  /// requests knows the level in it.
+  tree_run(std::vector<tree_kind> kinds, bool shedding, Duration report_delay)
       : kinds(std::move(kinds)),
         shedding(shedding),
         report_delay(report_delay),
@@ -147,7 +147,7 @@
     while (const auto id = this->admission.takeDispatchable(this->now)) this->dispatch(*id);
   }
 
-  std::vector<kind_of_tree> kinds;
+  std::vector<tree_kind> kinds;
   bool shedding;
   Duration report_delay;
   std::vector<tree_counts> counts;
@@ -165,8 +165,8 @@
   const char* name;
   double urgent_per_second;
   double other_per_second;
-  double least_urgent_complete;  // with shedding, as a share
-  double least_other_complete;
+  double min_urgent_complete;  // minimum share of urgent trees completed with shedding
+  double min_other_complete;
   Duration report_delay{0};
 };
 
@@ -192,18 +192,18 @@
 
 TEST_P(tree_shedding_table, urgent_trees_are_served_and_little_work_is_wasted) {
   const auto counts = play(true);
-  EXPECT_GE(share(counts[0].complete, counts[0].begun), GetParam().least_urgent_complete);
-  EXPECT_GE(share(counts[1].complete, counts[1].begun), GetParam().least_other_complete);
+  EXPECT_GE(share(counts[0].complete, counts[0].begun), GetParam().min_urgent_complete);
+  EXPECT_GE(share(counts[1].complete, counts[1].begun), GetParam().min_other_complete);
 }
 
-TEST_P(tree_shedding_table, no_kind_is_served_less_than_without_it_if_it_is_urgent) {
+TEST_P(tree_shedding_table, does_not_reduce_urgent_completions_or_add_failures) {
   const auto with = play(true);
   const auto without = play(false);
   EXPECT_GE(with[0].complete, without[0].complete * 99 / 100);
   EXPECT_LE(with[0].failed + with[1].failed, without[0].failed + without[1].failed);
 }
 
-// The server does 760 calls a second; an urgent tree takes eight, another one four.
+// The server completes 760 calls per second. An urgent tree makes eight calls, another one four.
 INSTANTIATE_TEST_SUITE_P(table, tree_shedding_table,
                          testing::Values(load_case{"light", 30, 60, 0.98, 0.98},
                                          load_case{"a_little_too_much", 45, 115, 0.88, 0.70},
