--- a/core/placement/instance_directory.cc
+++ b/core/placement/instance_directory.cc
@@ -6,67 +6,71 @@
 namespace ramppond {
 namespace {
 
-// Costs have no unit. An idle server costs this, one with all slots in use 1 more. Lower, speed and
-// zone hardly count while servers are idle; higher, utilization hardly counts.
+// Costs have no unit. An idle server costs this, a server with all slots in use 1 more. With a
+// lower cost, speed and zone hardly count while servers are idle; with a higher one, utilization
+// hardly counts.
 constexpr double kIdleCost = 0.3;
-// A server of the own zone costs this share of what it would cost elsewhere, since bytes between
-// zones have a price. Lower, the own zone fills up while others have room; higher, more requests
-// leave it without need.
+// Cost factor for servers in the own zone, since traffic between zones has a price. With a lower
+// factor the own zone fills up while others have free slots; with a higher one more requests leave
+// it without need.
 constexpr double kOwnZoneFactor = 0.6;
-// The same once the server is nearly full, since a request that finds no free slot costs far more
-// than its bytes. Lower, requests are refused in one zone while another has room; at 1, equally
-// full zones exchange requests without gain.
+// The same factor for a server that is nearly full, since a request that finds no free slot costs
+// far more than its traffic. With a lower factor requests are refused in one zone while another has
+// free slots; with 1, equally full zones exchange requests without gain.
 constexpr double kOwnZoneFactorWhenFull = 0.85;
-// Utilizations between which the factor moves from the first to the second.
-constexpr double kOwnZoneFactorRisesFrom = 0.5;
-constexpr double kOwnZoneFactorRisenAt = 0.9;
-// Servers of one service differ by this ratio of service times on an ordinary day. Lower, ordinary
-// differences drive requests out of the zone; higher, a server that has turned slow keeps its own.
+// The factor rises linearly from the first value to the second between these utilizations.
+constexpr double kOwnZoneFactorRiseBegin = 0.5;
+constexpr double kOwnZoneFactorRiseEnd = 0.9;
+// Ordinary ratio of the service times of servers of one service. With a lower ratio, ordinary
+// differences move requests out of the zone; with a higher one, a server that has become slow keeps
+// its requests.
 constexpr double kOrdinarySpeedRatio = 2.5;
-// A report of a server's load counts for this time. Longer, a server that was slow gets no request
-// that could show that it has recovered; shorter, little is known of servers that get few requests.
+// Lifetime of a load report. With a longer one, a server that was slow gets no request that could
+// show its recovery; with a shorter one, little is known about servers that get few requests.
 constexpr Duration kLoadReportValid = seconds(2);
-// Costs of servers that are chosen only if no other is left, in this order of preference. They
-// exceed each other and all costs of ordinary load.
+// Added costs of servers that are chosen only if no other is left, in order of preference. Each
+// exceeds the previous one, and all of them exceed the cost of any ordinary load.
 constexpr double kRefusedCost = 10;
 constexpr double kStoppingCost = 50;
 constexpr double kUnreachableCost = 100;
-// Cost factor for each unit of failed share beyond the median of the service: a server that fails a
-// quarter of its requests more than others costs three times as much. Lower, it keeps its share of
-// requests; higher, a few chance failures take a server out.
+// Cost factor for each unit of failed share above the median of the service: a server that fails a
+// quarter of its requests more than others costs three times as much. With a lower weight it keeps
+// its share of requests; with a higher one a few chance failures exclude a server.
 constexpr double kFailedShareWeight = 8;
 constexpr double kThousandths = 1000;
-// Largest random addition to a cost, so that equals are taken in turn. Larger, it hides
-// differences.
+// Maximum random addition to a cost, which spreads requests over servers of equal cost. A larger
+// one hides differences.
 constexpr double kTieBreak = 0.02;
-// A server that refused a request for lack of room is asked after others for this time. Shorter,
-// the next requests are refused too; longer, a server with room is left idle.
-constexpr Duration kRefusalRemembered = milliseconds(100);
-// A server that takes nothing more is passed over for this time, in case its refusal was older than
-// the record that is held. Longer, a late refusal takes a ready server out.
-constexpr Duration kFenceRemembered = milliseconds(1000);
-// A proxy that could not be connected to is the last choice for this time, doubled with each
-// further failure in a row. Shorter, more requests wait for connections that fail; longer, a proxy
-// that is back is left idle.
+// For this time a server that refused a request for lack of capacity is chosen after others. With a
+// shorter time the next requests are refused too; with a longer one a server with free slots stays
+// idle.
+constexpr Duration kRefusalPenaltyTime = milliseconds(100);
+// A fenced server is skipped for this time only, since the refusal may be older than the record
+// that is held. With a longer time a late refusal excludes a ready server.
+constexpr Duration kFenceTime = milliseconds(1000);
+// A proxy that could not be connected to is the last choice for this time, which doubles with each
+// consecutive failure. With a shorter time more requests wait for connections that fail; with a
+// longer one a proxy that is back stays idle.
 constexpr Duration kFirstUnreachablePause = milliseconds(200);
 constexpr std::uint32_t kMaximumPauseDoublings = 4;
-// Slots that a server is taken to have at least before its load was reported.
+// Minimum number of slots that is assumed before a server's load has been reported.
 constexpr double kAssumedSlots = 8;
-// The demand that a server with a named rate reported counts half after this time. It falls as the
-// inverse of its age, so that many proxies beyond the rate come back the later the more they are.
+// A reported demand counts half after this time. It decays as the inverse of its age, so that the
+// more proxies exceed a server's rate, the later they return to it.
 constexpr Duration kDemandHalvedAfter = seconds(1);
-// A demand beyond this counts as this. Lower, large fleets come back too soon; higher, a server
-// that was flooded before it named its rate gets nothing long after it takes more again.
-constexpr double kMostDemand = 4;
-// Requests a second that a server which names less is taken to name.
-constexpr double kLeastNamedRate = 0.25;
-// Bounds memory: routes with a known service time at one server.
+// A higher demand counts as this. With a lower maximum large fleets return too soon; with a higher
+// one a server that was overloaded before it named its rate gets no requests long after it accepts
+// more again.
+constexpr double kMaximumDemand = 4;
+// Requests per second. Lower named rates count as this.
+constexpr double kMinimumNamedRate = 0.25;
+// Maximum number of routes with a known service time at one server. Bounds memory.
 constexpr std::size_t kMaximumRoutes = 64;
 
-// The share of its cost that a server of the own zone has at this utilization.
+// Returns the cost factor of a server in the own zone at this utilization.
 double ownZoneFactor(double utilization) {
   const double beyond =
-      (utilization - kOwnZoneFactorRisesFrom) / (kOwnZoneFactorRisenAt - kOwnZoneFactorRisesFrom);
+      (utilization - kOwnZoneFactorRiseBegin) / (kOwnZoneFactorRiseEnd - kOwnZoneFactorRiseBegin);
   const double risen = std::clamp(beyond, 0.0, 1.0);
   return kOwnZoneFactor + (kOwnZoneFactorWhenFull - kOwnZoneFactor) * risen;
 }
@@ -145,8 +149,8 @@
   const double age = static_cast<double>((now - instance.load_reported).count()) /
                      static_cast<double>(kDemandHalvedAfter.count());
   const double sent =
-      (instance.sent_since_report + 1) / std::max(rate->limit.per_second, kLeastNamedRate);
-  return std::min(rate->demand, kMostDemand) / (1 + age) + sent;
+      (instance.sent_since_report + 1) / std::max(rate->limit.per_second, kMinimumNamedRate);
+  return std::min(rate->demand, kMaximumDemand) / (1 + age) + sent;
 }
 
 double InstanceDirectory::utilization(const KnownInstance& instance, TimePoint now) {
@@ -215,11 +219,11 @@
 double InstanceDirectory::cost(const KnownInstance& instance, const std::string& route,
                                const ServiceBaseline& baseline, TimePoint now) {
   const double utilized = utilization(instance, now);
-  const double slower = slowness(instance, route, baseline, now);
+  const double slowness_factor = slowness(instance, route, baseline, now);
   double cost = kIdleCost + std::min(utilized, 1.0);
-  cost *= std::max(1.0, slower / kOrdinarySpeedRatio);
+  cost *= std::max(1.0, slowness_factor / kOrdinarySpeedRatio);
   cost *= instance.record.zone == options_.zone ? ownZoneFactor(utilized) : 1.0;
-  cost += std::max(utilized - 1, 0.0) * slower;
+  cost += std::max(utilized - 1, 0.0) * slowness_factor;
   cost *= failureFactor(instance, baseline, now);
   cost += instance.refused_until > now ? kRefusedCost : 0;
   cost += instance.record.state == InstanceState::kStopping ? kStoppingCost : 0;
@@ -284,7 +288,7 @@
 }
 
 void InstanceDirectory::onRefused(KnownInstance& instance, TimePoint now) {
-  instance.refused_until = now + kRefusalRemembered;
+  instance.refused_until = now + kRefusalPenaltyTime;
 }
 
 void InstanceDirectory::onUnreachable(KnownInstance& instance, TimePoint now) {
@@ -306,7 +310,7 @@
 }
 
 void InstanceDirectory::watch(KnownInstance& instance) {
-  if (!instance.liveness.is_at_rest()) {
+  if (!instance.liveness.is_idle()) {
     watched_[instance.record.proxy_address] = &instance;
   }
 }
@@ -325,7 +329,7 @@
         changes.silent.push_back(&instance);
         break;
     }
-    watched = instance.liveness.is_at_rest() ? watched_.erase(watched) : std::next(watched);
+    watched = instance.liveness.is_idle() ? watched_.erase(watched) : std::next(watched);
   }
   return changes;
 }
@@ -338,7 +342,7 @@
 }
 
 void InstanceDirectory::onFenced(KnownInstance& instance, TimePoint now) {
-  instance.fenced_until = now + kFenceRemembered;
+  instance.fenced_until = now + kFenceTime;
 }
 
 }  // namespace ramppond
--- a/core/placement/peer_liveness.cc
+++ b/core/placement/peer_liveness.cc
@@ -3,11 +3,11 @@
 namespace ramppond {
 namespace {
 
-// Silence of a peer with requests outstanding before it is pinged. Longer than most requests take,
-// so that pings stay rare; longer still, more requests go to a frozen peer.
+// A peer with outstanding requests is pinged after this time of silence. It is longer than most
+// requests take, so that pings stay rare. With a longer time more requests go to a frozen peer.
 constexpr auto silence_before_ping = milliseconds(400);
-// A process whose processor time is limited in periods of 100 ms may pause for most of two periods;
-// a shorter time-out would take it for frozen.
+// A process whose CPU time is limited in periods of 100 ms may pause for most of two periods. With
+// a shorter timeout it would be taken for frozen.
 constexpr auto ping_timeout = milliseconds(250);
 
 }  // namespace
--- a/tests/core/placement/instance_directory_test.cc
+++ b/tests/core/placement/instance_directory_test.cc
@@ -34,7 +34,7 @@
   TimePoint now_ = seconds(10);
 };
 
-TEST_F(InstanceDirectoryTest, TheOwnZoneIsTakenWhileItHasRoom) {
+TEST_F(InstanceDirectoryTest, PrefersOwnZoneWhileItHasFreeSlots) {
   directory_.offer(record("far", "zone-b"));
   directory_.offer(record("near", "zone-a"));
   EXPECT_EQ(choose(), "near");
@@ -57,9 +57,10 @@
 
 class OwnZoneTest : public InstanceDirectoryTest, public testing::WithParamInterface<OwnZoneRow> {};
 
-// The traffic of a zone is not in proportion to its servers: none may refuse work while those of
-// another zone have room for it. Among equals the own zone is kept, since bytes between zones cost.
-TEST_P(OwnZoneTest, IsLeftWhenItIsFullAndOthersAreNot) {
+// The traffic of a zone is not proportional to its servers. A zone must not refuse work while
+// another one has free slots. With equal load the own zone is used, since traffic between zones has
+// a price.
+TEST_P(OwnZoneTest, IsLeftOnlyWhenFullerThanOthers) {
   directory_.offer(record("far", "zone-b"));
   directory_.offer(record("near", "zone-a"));
   directory_.onLoad(find("near"), "route", {10, GetParam().near_under_way, 0, milliseconds(10), 0},
@@ -76,19 +77,19 @@
                                          OwnZoneRow{12, 10, "far"}, OwnZoneRow{9, 10, "near"},
                                          OwnZoneRow{10, 10, "near"}));
 
-TEST_F(InstanceDirectoryTest, ASlowServerIsAvoidedAndAskedAgainLater) {
+TEST_F(InstanceDirectoryTest, SlowServerIsAvoidedUntilItsReportExpires) {
   directory_.offer(record("far", "zone-b"));
   directory_.offer(record("near", "zone-a"));
   directory_.onLoad(find("near"), "route", {10, 2, 0, milliseconds(20), 0}, now_);
   directory_.onLoad(find("far"), "route", {10, 2, 0, milliseconds(10), 0}, now_);
-  EXPECT_EQ(choose(), "near");  // Twice as slow is nothing out of the ordinary.
+  EXPECT_EQ(choose(), "near");  // Twice the service time is an ordinary difference.
   directory_.onLoad(find("near"), "route", {10, 2, 0, milliseconds(120), 0}, now_);
   EXPECT_EQ(choose(), "far");
   now_ += seconds(3);
   EXPECT_EQ(choose(), "near");
 }
 
-TEST_F(InstanceDirectoryTest, ADaemonThatHasStartedAnewIsTold) {
+TEST_F(InstanceDirectoryTest, OfferReportsARestartedProxy) {
   InstanceRecord first = record("near", "zone-a");
   EXPECT_FALSE(directory_.offer(first));
   first.revision = 2;
@@ -99,9 +100,9 @@
   EXPECT_FALSE(directory_.offer(first));
 }
 
-// Requests of one route may take many times as long as those of another: whoever happens to have
-// many of them is not slow.
-TEST_F(InstanceDirectoryTest, ServersAreComparedByTheirTimesForTheSameRoute) {
+// Requests of one route may take many times as long as those of another, so a server that happens
+// to have many of them is not slow.
+TEST_F(InstanceDirectoryTest, ComparesServiceTimesOfTheSameRoute) {
   directory_.offer(record("far", "zone-b"));
   directory_.offer(record("near", "zone-a"));
   directory_.onLoad(find("near"), "route", {10, 2, 0, milliseconds(55), 0}, now_);
@@ -112,7 +113,7 @@
   EXPECT_EQ(choose(), "far");
 }
 
-TEST_F(InstanceDirectoryTest, AServerThatLosesAnswersIsAvoidedWhileOthersHaveRoom) {
+TEST_F(InstanceDirectoryTest, FailingServerIsAvoidedWhileOthersHaveFreeSlots) {
   directory_.offer(record("far", "zone-b"));
   directory_.offer(record("near", "zone-a"));
   directory_.onLoad(find("near"), "route", {10, 2, 0, milliseconds(10), 300}, now_);
@@ -122,8 +123,8 @@
   EXPECT_EQ(choose(), "near");
 }
 
-// Calls that every server of a service makes may fail too: that is no reason to avoid any of them.
-TEST_F(InstanceDirectoryTest, WhatAllServersFailAlikeMovesNoRequests) {
+// Calls that all servers of a service make may fail. That is no reason to avoid any of the servers.
+TEST_F(InstanceDirectoryTest, FailuresCommonToAllServersAreIgnored) {
   directory_.offer(record("near", "zone-a"));
   directory_.offer(record("far", "zone-b"));
   directory_.offer(record("other", "zone-b"));
@@ -135,7 +136,7 @@
   EXPECT_NE(choose(), "near");
 }
 
-TEST_F(InstanceDirectoryTest, LeavingServersAndOtherServicesAreNeverChosen) {
+TEST_F(InstanceDirectoryTest, NeverChoosesDrainingServersOrOtherServices) {
   directory_.offer(record("near", "zone-a", InstanceState::kDraining));
   InstanceRecord other = record("far", "zone-b");
   other.service = "yard";
@@ -147,15 +148,15 @@
   EXPECT_EQ(choose(), "far");
 }
 
-TEST_F(InstanceDirectoryTest, AServerWhoseDaemonStopsIsTheLastResort) {
+TEST_F(InstanceDirectoryTest, ServerOfAStoppingProxyIsTheLastChoice) {
   directory_.offer(record("near", "zone-a", InstanceState::kStopping));
   EXPECT_EQ(choose(), "near");
   directory_.offer(record("far", "zone-b"));
   EXPECT_EQ(choose(), "far");
 }
 
-// A refusal may arrive after the newer record and must not outlast it.
-TEST_F(InstanceDirectoryTest, ALateRefusalDoesNotTakeAServerOutForGood) {
+// A refusal may arrive after a newer record and must not exclude the server for long.
+TEST_F(InstanceDirectoryTest, FencedServerIsSkippedUntilTimeoutOrNewerRecord) {
   directory_.offer(record("near", "zone-a", InstanceState::kReady, 5));
   directory_.onFenced(find("near"), now_);
   EXPECT_EQ(choose(), "");
@@ -166,7 +167,7 @@
   EXPECT_EQ(choose(), "near");
 }
 
-TEST_F(InstanceDirectoryTest, UnreachableServersComeLastAndComeBack) {
+TEST_F(InstanceDirectoryTest, UnreachableServerIsTheLastChoiceUntilReached) {
   directory_.offer(record("near", "zone-a"));
   directory_.offer(record("far", "zone-b"));
   directory_.onUnreachable(find("near"), now_);
@@ -176,7 +177,7 @@
   EXPECT_EQ(choose(), "near");
 }
 
-TEST_F(InstanceDirectoryTest, ASilentDaemonIsLeftUntilItIsHeardAgain) {
+TEST_F(InstanceDirectoryTest, SilentProxyIsAvoidedUntilItAnswersAPing) {
   directory_.offer(record("near", "zone-a"));
   directory_.offer(record("far", "zone-b"));
   directory_.onSent(find("near"), now_);
@@ -192,7 +193,7 @@
   EXPECT_EQ(choose(), "near");
 }
 
-TEST_F(InstanceDirectoryTest, OnlyDaemonsWithRequestsUnderWayAreWatchedHoweverManyAreKnown) {
+TEST_F(InstanceDirectoryTest, WatchesOnlyProxiesWithRequestsInFlight) {
   for (int index = 0; index < 1000; ++index) {
     directory_.offer(record("daemon-" + std::to_string(index), "zone-a"));
   }
@@ -212,7 +213,7 @@
   EXPECT_EQ(directory_.watched(), 0U);
 }
 
-TEST_F(InstanceDirectoryTest, OlderRecordsAreNotTaken) {
+TEST_F(InstanceDirectoryTest, OlderRecordsAreIgnored) {
   directory_.offer(record("near", "zone-a", InstanceState::kDraining, 7));
   directory_.offer(record("near", "zone-a", InstanceState::kReady, 6));
   EXPECT_EQ(choose(), "");
@@ -225,12 +226,12 @@
   return load;
 }
 
-TEST_F(InstanceDirectoryTest, AServerIsOfferedNoMoreThanTheRateThatItNames) {
+TEST_F(InstanceDirectoryTest, SendsNoMoreThanTheNamedRate) {
   directory_.offer(record("far", "zone-b"));
   directory_.offer(record("near", "zone-a"));
   directory_.onLoad(find("near"), "route", limitedTo(10, 2), now_);
   EXPECT_EQ(choose(), "far");
-  now_ += seconds(9);  // Too old to keep it from a server of the own zone.
+  now_ += seconds(9);  // The reported demand has decayed.
   EXPECT_EQ(choose(), "near");
   for (int sent = 0; sent < 10; ++sent) {
     directory_.onSent(find("near"), now_);
@@ -239,7 +240,7 @@
   EXPECT_EQ(choose(), "far");
 }
 
-TEST_F(InstanceDirectoryTest, ANamedRateOutlastsARestartOfTheProxyButNotOfTheServer) {
+TEST_F(InstanceDirectoryTest, NamedRateIsKeptOverProxyRestartButNotOverServerRestart) {
   InstanceRecord changed = record("near", "zone-a");
   directory_.offer(changed);
   KnownInstance& near = find("near");
@@ -259,14 +260,14 @@
   EXPECT_FALSE(near.rate());
 }
 
-TEST_F(InstanceDirectoryTest, ARateThatIsNamedNoMoreIsForgotten) {
+TEST_F(InstanceDirectoryTest, RateThatIsNoLongerNamedIsForgotten) {
   directory_.offer(record("near", "zone-a"));
   directory_.onLoad(find("near"), "route", limitedTo(10, 2), now_);
   directory_.onLoad(find("near"), "route", {10, 1, 0, milliseconds(10), 0}, now_);
   EXPECT_FALSE(find("near").rate());
 }
 
-TEST_F(InstanceDirectoryTest, AServerThatSaidItLeavesGetsNothingWhateverItsRecordSays) {
+TEST_F(InstanceDirectoryTest, LeavingIncarnationIsSkippedRegardlessOfItsRecord) {
   InstanceRecord changed = record("near", "zone-a");
   directory_.offer(changed);
   KnownInstance& near = find("near");
