--- a/core/retries/call_attribution.cc
+++ b/core/retries/call_attribution.cc
@@ -5,23 +5,24 @@
 namespace ramppond {
 namespace {
 
-// Deadlines cross a connection as whole milliseconds, twice. Wider, more runs match by chance.
+// Deadlines are rounded to milliseconds at two connections. With a wider tolerance more runs match
+// by chance.
 constexpr auto equal_deadline_tolerance = milliseconds(3);
-// A server may count a request's time from a later moment than the proxy, so its calls may end
-// this much later. Wider, client requests are taken for calls.
+// A server may count a request's time from a later moment than the proxy, so its calls may have a
+// deadline this much later. With a wider tolerance client requests are taken for calls.
 constexpr auto later_deadline_tolerance = milliseconds(10);
 // Weight of one request in the smoothed share of client requests.
 constexpr double client_share_weight = 1.0 / 32;
 // Above this share, all requests of a route count as client requests.
-constexpr double most_requests = 0.5;
-// A deadline may match a run by chance. A route counts as caller from this many attributed calls
-// on, if they are this share of all of the callee.
+constexpr double majority_share = 0.5;
+// A deadline may match a run by chance. A route counts as a caller once it has this many attributed
+// calls and they are this share of all attributed calls of the callee.
 constexpr std::uint32_t min_caller_calls = 3;
 constexpr double min_caller_share = 0.02;
-// Bounds memory: routes that are remembered.
+// Maximum number of routes that are kept. Bounds memory.
 constexpr std::size_t max_routes = 1024;
-// Factor of the most calls per run for each run that ends, so that a route that makes fewer calls
-// than before is known as such within some hundred runs.
+// The maximum number of calls per run is multiplied by this at the end of each run, so that it
+// follows a route that makes fewer calls than before within some hundred runs.
 constexpr double calls_per_run_decay = 0.998;
 constexpr double rounding = 0.5;
 
@@ -29,12 +30,12 @@
   return left <= right + equal_deadline_tolerance && left >= right - equal_deadline_tolerance;
 }
 
-// Whether a run with this deadline is over before its call could end at `call_deadline`.
+// Returns whether a run with this deadline ends too early to have made a call with `call_deadline`.
 auto ends_before_call(TimePoint run_deadline, TimePoint call_deadline) -> bool {
   return run_deadline + later_deadline_tolerance < call_deadline;
 }
 
-// The one route of a number of runs.
+// Finds the common route of a set of runs.
 class single_route {
  public:
   void add(const std::string& route) {
@@ -42,7 +43,7 @@
     this->last = &route;
   }
   [[nodiscard]] auto empty() const -> bool { return this->last == nullptr; }
-  // Null if there is none, or several.
+  // nullptr if there are no runs or several routes.
   [[nodiscard]] auto get() const -> const std::string* {
     return this->several ? nullptr : this->last;
   }
@@ -70,15 +71,15 @@
   this->runs.erase(found);
 }
 
-// Some calls of a run may have been attributed to others, so the most that recent runs of the route
-// made is taken for what each makes.
+// Some calls of a run may have been attributed to other runs, so the maximum of recent runs of the
+// route is taken as the number of calls that each run makes.
 void call_attribution::learn_calls_per_run(const run& ended) {
   const bool known = this->calls_per_run.count(ended.route) > 0;
   if (!known && this->calls_per_run.size() >= max_routes) {
     return;
   }
-  auto& most = this->calls_per_run[ended.route];
-  most = std::max<double>(most * calls_per_run_decay, ended.calls);
+  auto& max_calls = this->calls_per_run[ended.route];
+  max_calls = std::max<double>(max_calls * calls_per_run_decay, ended.calls);
 }
 
 void call_attribution::attribute_to_run(TimePoint deadline, attributed_request& request) {
@@ -103,7 +104,7 @@
   }
 }
 
-auto call_attribution::only_caller(TimePoint deadline) const -> const std::string* {
+auto call_attribution::single_caller(TimePoint deadline) const -> const std::string* {
   auto equal = single_route();
   auto possible = single_route();
   for (const auto& [id, r] : this->runs) {
@@ -118,7 +119,7 @@
   return equal.empty() ? possible.get() : equal.get();
 }
 
-auto call_attribution::outlives_all_runs(TimePoint deadline) const -> bool {
+auto call_attribution::outlasts_all_runs(TimePoint deadline) const -> bool {
   return std::all_of(this->runs.begin(), this->runs.end(), [&](const auto& entry) {
     return ends_before_call(entry.second.deadline, deadline);
   });
@@ -129,17 +130,17 @@
   if (this->callees.size() >= max_routes && this->callees.count(route) == 0) {
     this->callees.clear();
   }
-  const bool outlives_all = this->outlives_all_runs(deadline);
+  const bool outlasts_all = this->outlasts_all_runs(deadline);
   auto& callee = this->callees[route];
-  const double sample = outlives_all ? 1 : 0;
+  const double sample = outlasts_all ? 1 : 0;
   callee.client_share += (sample - callee.client_share) * (callee.seen ? client_share_weight : 1);
   callee.seen = true;
-  if (outlives_all || callee.client_share > most_requests) {
+  if (outlasts_all || callee.client_share > majority_share) {
     return {};
   }
   auto request = attributed_request{request_origin::server_or_unknown};
   this->attribute_to_run(deadline, request);
-  if (const auto* caller = this->only_caller(deadline)) {
+  if (const auto* caller = this->single_caller(deadline)) {
     ++callee.callers[*caller];
     ++callee.attributed;
   }
@@ -148,14 +149,14 @@
 
 auto call_attribution::comes_from_clients(const std::string& route) const -> bool {
   const auto found = this->callees.find(route);
-  return found != this->callees.end() && found->second.client_share > most_requests;
+  return found != this->callees.end() && found->second.client_share > majority_share;
 }
 
 auto call_attribution::calls_of(const std::string& route) const -> std::vector<std::string> {
   auto calls = std::vector<std::string>();
   for (const auto& [name, callee] : this->callees) {
     const auto found = callee.callers.find(route);
-    if (found == callee.callers.end() || callee.client_share > most_requests) {
+    if (found == callee.callers.end() || callee.client_share > majority_share) {
       continue;
     }
     const bool enough = found->second >= min_caller_calls &&
--- a/core/retries/retry_budget.cc
+++ b/core/retries/retry_budget.cc
@@ -6,13 +6,14 @@
 namespace ramppond {
 namespace {
 
-// A window is counted in slots, so its ends are off by a tenth of it at most.
+// A window is counted in slots, so its boundaries are exact to a tenth of its length.
 constexpr auto slots_per_window = std::int64_t(10);
-// The oldest window that matters is the one before the window that began a window ago.
+// The oldest window that is needed precedes the window that began one window length ago.
 constexpr auto remembered_slots = 2 * slots_per_window + 1;
-// Share of the shared allowance that is given out. A proxy that sends little has the most in one of
-// the three windows by chance alone, and the sum of such chances over all proxies needs the rest:
-// higher, the fleet exceeds its bound; lower, services with few requests get hardly any retry.
+// Share of the shared allowance that is handed out to proxies. For a proxy that sends few requests
+// the maximum over the three windows exceeds the mean by chance, and the sum of these excesses over
+// all proxies takes up the rest. With a higher share the fleet exceeds its limit; with a lower one
+// services with few requests get hardly any retries.
 constexpr double shared_allowance_used = 0.25;
 
 }  // namespace
@@ -48,10 +49,11 @@
   return sum;
 }
 
-auto retry_budget::wanted_by_others(std::int64_t begin, budget_reserve reserve) const -> double {
+auto retry_budget::requested_below_reserve(std::int64_t begin, budget_reserve reserve) const
+    -> double {
   auto sum = 0.0;
   for (const auto& s : this->slots) {
-    for (const auto& [share, count] : s.wanted) {
+    for (const auto& [share, count] : s.requested) {
       sum += s.number >= begin && share < reserve.share ? count : 0;
     }
   }
@@ -67,16 +69,16 @@
   return this->share.value * counted + this->allowance.count;
 }
 
-// The least over all windows that hold the current slot, by what is known of each of them.
+// The minimum over all windows that contain the current slot, as far as they are known.
 auto retry_budget::usable(std::int64_t current, budget_reserve reserve) const -> double {
-  const auto wanted = this->wanted_by_others(current - slots_per_window, reserve);
-  auto least = std::numeric_limits<double>::max();
+  const auto requested = this->requested_below_reserve(current - slots_per_window, reserve);
+  auto remaining = std::numeric_limits<double>::max();
   for (auto begin = current - slots_per_window; begin <= current; ++begin) {
     const auto allowed = this->allowed_in_window(begin, current);
-    const auto kept = std::min(allowed * reserve.share, wanted);
-    least = std::min(least, allowed - kept - this->retries_since(begin));
+    const auto kept = std::min(allowed * reserve.share, requested);
+    remaining = std::min(remaining, allowed - kept - this->retries_since(begin));
   }
-  return least;
+  return remaining;
 }
 
 void retry_budget::on_first_send(TimePoint now) {
@@ -85,7 +87,7 @@
 
 auto retry_budget::take(TimePoint now, budget_reserve reserve, budget_draw draw) -> bool {
   auto& current = this->current_slot(now);
-  current.wanted[reserve.share] += 1;
+  current.requested[reserve.share] += 1;
   const auto left = this->usable(current.number, reserve);
   if (left >= 1) {
     current.retries += 1;
@@ -94,7 +96,7 @@
   if (left <= 0 || draw.value >= 1) {
     return false;
   }
-  // Spent whether the draw is won or lost, so that it is right on average.
+  // The fraction is spent whether or not the draw grants the retry, so that the mean is correct.
   current.retries += left;
   return draw.value < left;
 }
--- a/core/retries/server_wait.h
+++ b/core/retries/server_wait.h
@@ -1,7 +1,7 @@
-// How long a request waits for a first server of its service to become known.
+// Computes how long a request waits until a server of its service is known.
 //
-// Right after a restart no server may be known yet. A request that waits shortly is still served
-// within its goal, while the parent of a call that is refused has run for nothing. Pure.
+// Directly after a restart no server may be known. A request that waits for a short time is still
+// served within its latency goal, while refusing a call wastes the work of its caller. Stateless.
 #pragma once
 
 #include <cstddef>
@@ -12,15 +12,16 @@
 
 namespace ramppond {
 
-/// A request waits for its goal divided by this: the rest of the goal is for its run. With a
-/// smaller divisor it is served late, with a larger one it is refused before heartbeats spread.
+/// A request waits for at most its goal divided by this; the rest of the goal is left for its run.
+/// With a smaller divisor it is served late; with a larger one it is refused before heartbeats have
+/// spread.
 constexpr auto server_wait_divisor = std::int64_t(4);
 
-/// From one look for a server to the next.
+/// Time between two lookups of a server.
 constexpr auto server_wait_interval = Duration(milliseconds(20));
 
-/// A request that has waited for `waited` since it came, after `attempts` attempts. One that tried
-/// a server already does not wait: servers are known, and they are full or lost.
+/// Returns whether a request that arrived `waited` ago may wait on after `attempts` attempts. A
+/// request that has tried a server does not wait: servers are known, but full or lost.
 constexpr auto may_wait_for_server(std::size_t attempts, Duration waited, Duration goal,
                                    Duration time_left) -> bool {
   return attempts == 0 && waited < goal / server_wait_divisor && time_left > min_time_for_attempt;
--- a/tests/core/retries/attempt_end_test.cc
+++ b/tests/core/retries/attempt_end_test.cc
@@ -11,8 +11,8 @@
 struct failure_case {
   const char* name;
   attempt_failure failure;
-  attempt_end end;            // its end had been sent
-  attempt_end end_held_back;  // it had not
+  attempt_end end;            // if the end of the request had been sent
+  attempt_end end_held_back;  // if it had not been sent
   std::string text;
 };
 
@@ -23,7 +23,7 @@
 
 class attempt_failure_table : public testing::TestWithParam<failure_case> {};
 
-TEST_P(attempt_failure_table, tells_what_is_known_of_the_request) {
+TEST_P(attempt_failure_table, maps_to_end_and_text) {
   const auto& tested = GetParam();
   EXPECT_EQ(end_of(tested.failure, false), tested.end);
   EXPECT_EQ(end_of(tested.failure, true), tested.end_held_back);
@@ -56,7 +56,7 @@
 
 class attempt_arrival_table : public testing::TestWithParam<arrival_case> {};
 
-TEST_P(attempt_arrival_table, counts_what_a_server_received) {
+TEST_P(attempt_arrival_table, tells_whether_a_server_received_the_request) {
   EXPECT_EQ(was_received(GetParam().end), GetParam().received);
 }
 
--- a/tests/core/retries/call_attribution_test.cc
+++ b/tests/core/retries/call_attribution_test.cc
@@ -9,7 +9,7 @@
 
 class call_attribution_test : public testing::Test {
  protected:
-  /// Requests of clients, which come whatever the server runs.
+  /// Requests of clients, which arrive independent of the runs at the server.
   void client_requests(const std::string& route, int count) {
     for (int i = 0; i < count; ++i) {
       EXPECT_EQ(this->attribution.on_request(route, this->now + seconds(5)).origin,
@@ -21,7 +21,7 @@
   TimePoint now = seconds(100);
 };
 
-TEST_F(call_attribution_test, what_ends_later_than_all_that_runs_is_no_call) {
+TEST_F(call_attribution_test, request_with_later_deadline_than_all_runs_is_from_a_client) {
   EXPECT_EQ(this->attribution.on_request("front", this->now + seconds(1)).origin,
             request_origin::client);
   this->attribution.on_begun(1, "lodge", this->now + seconds(2));
@@ -34,7 +34,7 @@
             request_origin::client);
 }
 
-TEST_F(call_attribution_test, an_equal_deadline_names_the_caller) {
+TEST_F(call_attribution_test, equal_deadline_identifies_the_caller) {
   this->attribution.on_begun(1, "lodge", this->now + milliseconds(1500));
   this->attribution.on_begun(2, "fetch", this->now + milliseconds(1700));
   for (int i = 0; i < 3; ++i) {
@@ -44,7 +44,7 @@
   EXPECT_EQ(this->attribution.calls_of("fetch"), calls());
 }
 
-TEST_F(call_attribution_test, a_call_of_the_only_route_that_runs_is_its_call) {
+TEST_F(call_attribution_test, call_is_attributed_to_the_only_running_route) {
   this->attribution.on_begun(1, "version", this->now + seconds(2));
   this->attribution.on_begun(2, "version", this->now + seconds(3));
   for (int i = 0; i < 3; ++i) {
@@ -53,7 +53,7 @@
   EXPECT_EQ(this->attribution.calls_of("version"), calls{"rule"});
 }
 
-TEST_F(call_attribution_test, the_place_of_a_call_is_known_once_whole_runs_were_seen) {
+TEST_F(call_attribution_test, remaining_calls_are_known_after_a_complete_run) {
   const auto deadline = this->now + seconds(2);
   this->attribution.on_begun(1, "version", deadline);
   for (int i = 0; i < 4; ++i) {
@@ -66,7 +66,7 @@
   }
 }
 
-TEST_F(call_attribution_test, a_call_that_two_runs_may_have_made_has_no_place) {
+TEST_F(call_attribution_test, remaining_calls_are_unknown_if_two_runs_match) {
   const auto deadline = this->now + seconds(2);
   this->attribution.on_begun(1, "version", deadline);
   this->attribution.on_request("rule", deadline);
@@ -78,7 +78,7 @@
   EXPECT_TRUE(call.of_retry);
 }
 
-TEST_F(call_attribution_test, runs_that_failed_tell_nothing_of_how_many_calls_there_are) {
+TEST_F(call_attribution_test, failed_runs_do_not_count_for_calls_per_run) {
   const auto deadline = this->now + seconds(2);
   this->attribution.on_begun(1, "version", deadline);
   this->attribution.on_request("rule", deadline);
@@ -87,7 +87,7 @@
   EXPECT_FALSE(this->attribution.on_request("rule", deadline).remaining_calls);
 }
 
-TEST_F(call_attribution_test, a_call_that_several_routes_may_have_made_names_none) {
+TEST_F(call_attribution_test, call_is_not_attributed_if_several_routes_match) {
   this->attribution.on_begun(1, "version", this->now + seconds(2));
   this->attribution.on_begun(2, "export", this->now + seconds(3));
   for (int i = 0; i < 30; ++i) {
@@ -97,8 +97,8 @@
   EXPECT_EQ(this->attribution.calls_of("export"), calls());
 }
 
-// A client that tries again has less time left than the requests that run.
-TEST_F(call_attribution_test, a_route_that_clients_ask_for_has_no_caller) {
+// The deadline of a client's retry may be earlier than the deadlines of the runs.
+TEST_F(call_attribution_test, route_requested_by_clients_has_no_caller) {
   this->client_requests("front", 50);
   this->attribution.on_begun(1, "lodge", this->now + seconds(4));
   for (int i = 0; i < 10; ++i) {
@@ -108,7 +108,7 @@
   EXPECT_EQ(this->attribution.calls_of("lodge"), calls());
 }
 
-TEST_F(call_attribution_test, deadlines_that_match_by_chance_name_no_caller) {
+TEST_F(call_attribution_test, chance_matches_identify_no_caller) {
   this->attribution.on_begun(1, "version", this->now + seconds(2));
   for (int i = 0; i < 1000; ++i) {
     this->attribution.on_request("rule", this->now + milliseconds(700));
@@ -121,7 +121,7 @@
   EXPECT_EQ(this->attribution.calls_of("export"), calls());
 }
 
-TEST_F(call_attribution_test, memory_stays_bounded) {
+TEST_F(call_attribution_test, number_of_routes_is_bounded) {
   for (int i = 0; i < 5000; ++i) {
     this->attribution.on_request("route-" + std::to_string(i), this->now + seconds(1));
   }
--- a/tests/core/retries/retry_budget_test.cc
+++ b/tests/core/retries/retry_budget_test.cc
@@ -13,8 +13,7 @@
 namespace ramppond {
 namespace {
 
-// As a platform bounds them: retries in any window of ten seconds, over all
-// daemons.
+// The limit of the platform: retries in any window of ten seconds, over all daemons.
 constexpr auto window_slots = std::size_t(10);
 constexpr auto allowed_ratio = 0.2;
 constexpr auto allowed_extra = 55.0;
@@ -23,8 +22,8 @@
 struct fleet_case {
   const char* name;
   std::size_t daemons;
-  std::vector<int> requests;  // of the whole fleet, second by second
-  std::size_t failing_from;   // second from which every request wants a retry
+  std::vector<int> requests;  // of the whole fleet, by second
+  std::size_t failing_from;   // second from which on every request requests a retry
 };
 
 // Keeps the name of a test the same in every run.
@@ -56,7 +55,7 @@
       budget.on_first_send(now);
       retried += second >= tested.failing_from && budget.take(now) ? 1 : 0;
     }
-    // Requests that were under way fail too, as many as a daemon has saved for.
+    // Requests in flight fail too, as many as the budget of a daemon allows to retry.
     for (auto& budget : fleet) {
       const auto now = TimePoint(seconds(second)) + milliseconds(500);
       while (second >= tested.failing_from && budget.take(now)) ++retried;
@@ -64,12 +63,13 @@
     retries.push_back(retried);
   }
   for (auto from = std::size_t(0); from + window_slots <= retries.size(); ++from) {
-    auto wanted = 0.0, sent = 0.0;
+    auto retried_in_window = 0.0, sent_in_window = 0.0;
     for (auto i = from; i < from + window_slots; ++i) {
-      wanted += retries[i];
-      sent += tested.requests[i];
+      retried_in_window += retries[i];
+      sent_in_window += tested.requests[i];
     }
-    EXPECT_LE(wanted, allowed_ratio * sent + allowed_extra) << "from second " << from;
+    EXPECT_LE(retried_in_window, allowed_ratio * sent_in_window + allowed_extra)
+        << "from second " << from;
   }
 }
 
@@ -84,16 +84,16 @@
                                                     joined(steady(30, 2000), steady(40, 200)), 40}),
                          [](const auto& info) { return std::string(info.param.name); });
 
-TEST(retry_budget, follows_what_a_busy_daemon_sends) {
+TEST(retry_budget, allows_the_share_of_first_sends) {
   auto budget = retry_budget(earned_share);
   for (auto i = 0; i < 1000; ++i) budget.on_first_send(seconds(1));
-  auto paid = 0;
-  while (budget.take(seconds(2))) ++paid;
-  EXPECT_GE(paid, 119);
-  EXPECT_LE(paid, 120);
+  auto granted = 0;
+  while (budget.take(seconds(2))) ++granted;
+  EXPECT_GE(granted, 119);
+  EXPECT_LE(granted, 120);
 }
 
-// A retry counts in windows that begin with it, too: first sends pay for a window's length.
+// A retry counts in the windows that begin with it too, so first sends pay for one window.
 TEST(retry_budget, first_sends_pay_for_one_window_only) {
   auto budget = retry_budget(earned_share);
   for (auto i = 0; i < 1000; ++i) budget.on_first_send(seconds(1));
@@ -101,9 +101,10 @@
   EXPECT_FALSE(budget.take(seconds(12)));
 }
 
-// Where a service turns much away, runs end early and first sends become few: what was sent in the
-// window before still pays: 49 retries with tokens of 0.12 that last for five seconds.
-TEST(retry_budget, what_was_sent_before_a_service_failed_pays_for_the_window) {
+// When a service refuses many requests, runs end early and first sends become rare. First sends of
+// the previous window still count; tokens of 0.12 that expire after five seconds allowed only 49
+// retries here.
+TEST(retry_budget, first_sends_of_the_previous_window_count) {
   auto budget = retry_budget(retry_share{0.16});
   auto retries = 0;
   for (auto ms = 0; ms < 30000; ms += 20) budget.on_first_send(milliseconds(ms));
@@ -115,7 +116,7 @@
   EXPECT_LE(retries, 80);
 }
 
-TEST(retry_budget, keeps_a_reserve_for_retries_that_are_worth_more) {
+TEST(retry_budget, keeps_the_reserve_for_more_valuable_retries) {
   auto budget = retry_budget(earned_share);
   for (auto i = 0; i < 1000; ++i) budget.on_first_send(seconds(1));
   auto best = 0, others = 0;
@@ -127,25 +128,26 @@
   EXPECT_GE(best, 55);
 }
 
-// Those that reserve half were granted half, 60, whether others came or not.
-TEST(retry_budget, keeps_nothing_for_retries_that_nobody_asks_for) {
+// Guards against a fixed reserve: retries that reserve half got only half of the budget, 60, even
+// without other retries.
+TEST(retry_budget, keeps_no_reserve_without_requests_for_it) {
   auto budget = retry_budget(earned_share);
   for (auto i = 0; i < 1000; ++i) budget.on_first_send(seconds(1));
-  auto paid = 0;
-  while (budget.take(seconds(1), budget_reserve{0.5})) ++paid;
-  EXPECT_NEAR(paid, 120, 1);
+  auto granted = 0;
+  while (budget.take(seconds(1), budget_reserve{0.5})) ++granted;
+  EXPECT_NEAR(granted, 120, 1);
 }
 
-TEST(retry_budget, forgets_after_a_window_that_others_asked) {
+TEST(retry_budget, requests_for_the_reserve_expire_after_a_window) {
   auto budget = retry_budget(earned_share);
   for (auto i = 0; i < 100; ++i) budget.take(seconds(1));
   for (auto i = 0; i < 1000; ++i) budget.on_first_send(seconds(13));
-  auto paid = 0;
-  while (budget.take(seconds(13), budget_reserve{0.5})) ++paid;
-  EXPECT_NEAR(paid, 120, 1);
+  auto granted = 0;
+  while (budget.take(seconds(13), budget_reserve{0.5})) ++granted;
+  EXPECT_NEAR(granted, 120, 1);
 }
 
-TEST(retry_budget, first_sends_of_retried_runs_are_paid_for_later_if_need_be) {
+TEST(retry_budget, charges_beyond_the_budget_are_paid_by_later_first_sends) {
   auto budget = retry_budget(earned_share);
   for (auto i = 0; i < 30; ++i) budget.charge(seconds(1));
   for (auto i = 0; i < 250; ++i) budget.on_first_send(seconds(1));
@@ -154,9 +156,9 @@
   EXPECT_TRUE(budget.take(seconds(1)));
 }
 
-// Each daemon has about 0.12 of a retry in a window, never a whole one: without a draw 984 daemons
-// retry none of 1,960 requests.
-TEST(retry_budget, a_large_fleet_with_little_traffic_each_retries_its_share) {
+// Each daemon has about 0.12 of a retry in a window, never a whole one. Without the random draw 984
+// daemons retry none of 1,960 requests.
+TEST(retry_budget, large_fleet_with_little_traffic_retries_its_share) {
   auto random = Random(7);
   auto fleet = std::vector<retry_budget>(984, retry_budget(earned_share));
   auto requests = 0, retries = 0;
@@ -175,7 +177,7 @@
   EXPECT_LT(retries, 0.2 * requests);
 }
 
-TEST(retry_budget, a_fraction_is_spent_whether_the_draw_is_won_or_lost) {
+TEST(retry_budget, fraction_is_spent_whatever_the_draw) {
   auto budget = retry_budget(earned_share);
   for (auto i = 0; i < 4; ++i) budget.on_first_send(seconds(1));  // 0.48
   EXPECT_FALSE(budget.take(seconds(1), {}, {0.5}));
@@ -188,7 +190,7 @@
 struct shared_case {
   const char* name;
   std::size_t daemons;
-  double shared;  // in ten seconds, over all of them
+  double shared;  // retries in ten seconds over all daemons
 };
 
 void PrintTo(const shared_case& tested, std::ostream* out) {
@@ -197,7 +199,7 @@
 
 class shared_retries_fleet : public testing::TestWithParam<shared_case> {};
 
-// Every daemon wants a retry many times a second, and sends no first requests.
+// Every daemon requests many retries per second and has no first sends.
 TEST_P(shared_retries_fleet, stay_within_the_bound_in_any_window) {
   const auto& tested = GetParam();
   auto random = Random(7);
@@ -215,9 +217,9 @@
     retries.push_back(retried);
   }
   for (auto from = std::size_t(0); from + window_slots <= retries.size(); ++from) {
-    auto sent = 0.0;
-    for (auto i = from; i < from + window_slots; ++i) sent += retries[i];
-    EXPECT_LE(sent, tested.shared) << "from second " << from;
+    auto sent_in_window = 0.0;
+    for (auto i = from; i < from + window_slots; ++i) sent_in_window += retries[i];
+    EXPECT_LE(sent_in_window, tested.shared) << "from second " << from;
   }
   EXPECT_GE(std::accumulate(retries.begin(), retries.end(), 0.0), 0.6 * tested.shared);
 }
@@ -229,7 +231,7 @@
                                          shared_case{"two_thousand_daemons", 2000, 1040}),
                          [](const auto& info) { return std::string(info.param.name); });
 
-TEST(retry_budget, shares_nothing_where_no_daemon_is_known) {
+TEST(retry_budget, allowance_is_zero_without_known_daemons) {
   EXPECT_EQ(allowance_per_proxy({0, seconds(10)}, 5).count, 0);
   EXPECT_EQ(allowance_per_proxy({55, seconds(10)}, 0).count, 0);
 }
--- a/tests/core/retries/retry_reserve_test.cc
+++ b/tests/core/retries/retry_reserve_test.cc
@@ -22,7 +22,7 @@
 
 class retry_reserve_table : public testing::TestWithParam<reserve_case> {};
 
-TEST_P(retry_reserve_table, grows_with_the_calls_to_come) {
+TEST_P(retry_reserve_table, grows_with_remaining_calls) {
   const auto& tested = GetParam();
   EXPECT_DOUBLE_EQ(reserve_of(tested.is_call, tested.remaining_calls).share, tested.share);
 }
--- a/tests/core/retries/retry_rule_test.cc
+++ b/tests/core/retries/retry_rule_test.cc
@@ -9,19 +9,19 @@
 namespace ramppond {
 namespace {
 
-/// A verdict as a table can hold it.
+/// A verdict in a form that fits a table.
 struct expected_verdict {
   std::optional<retry_denial> denial;
-  bool paid = false;
+  bool from_budget = false;
 };
-constexpr auto free_retry = expected_verdict{std::nullopt, false};
-constexpr auto paid_retry = expected_verdict{std::nullopt, true};
+constexpr auto retry_without_charge = expected_verdict{std::nullopt, false};
+constexpr auto budgeted_retry = expected_verdict{std::nullopt, true};
 
 constexpr auto denied(retry_denial reason) -> expected_verdict {
   return {reason, false};
 }
 
-// By default a request that a server refused and that may go on, for payment.
+// The defaults describe a request that a server refused and that may be retried from the budget.
 struct rule_case {
   const char* name;
   expected_verdict verdict;
@@ -42,7 +42,7 @@
 
 class retry_rule_table : public testing::TestWithParam<rule_case> {};
 
-TEST_P(retry_rule_table, judges) {
+TEST_P(retry_rule_table, returns_expected_verdict) {
   const auto& tested = GetParam();
   const auto verdict =
       decide_retry({tested.end, tested.may_run_twice, tested.body_buffered, tested.attempts,
@@ -52,7 +52,7 @@
   if (refusal != nullptr) {
     EXPECT_EQ(refusal->reason, *tested.verdict.denial);
   } else {
-    EXPECT_EQ(std::holds_alternative<retry_from_budget>(verdict), tested.verdict.paid);
+    EXPECT_EQ(std::holds_alternative<retry_from_budget>(verdict), tested.verdict.from_budget);
   }
 }
 
@@ -64,37 +64,38 @@
 INSTANTIATE_TEST_SUITE_P(
     table, retry_rule_table,
     testing::Values(
-        rule_case{"refused_by_the_server", paid_retry},
-        rule_case{"refused_by_the_server_and_must_not_run_twice", paid_retry, not_run, false},
-        rule_case{"may_have_run_and_may_run_twice", paid_retry, unknown},
+        rule_case{"refused_by_the_server", budgeted_retry},
+        rule_case{"refused_by_the_server_and_must_not_run_twice", budgeted_retry, not_run, false},
+        rule_case{"may_have_run_and_may_run_twice", budgeted_retry, unknown},
         rule_case{"may_have_run_and_must_not_run_twice", denied(retry_denial::may_have_run),
                   unknown, false},
-        rule_case{"not_sent_is_free", free_retry, not_sent},
-        rule_case{"not_sent_is_free_for_what_must_not_run_twice", free_retry, not_sent, false},
-        rule_case{"not_sent_is_free_after_the_last_arrival", free_retry, not_sent, true, true, 4, 3,
-                  3},
+        rule_case{"not_sent_is_free", retry_without_charge, not_sent},
+        rule_case{"not_sent_is_free_for_what_must_not_run_twice", retry_without_charge, not_sent,
+                  false},
+        rule_case{"not_sent_is_free_after_the_last_arrival", retry_without_charge, not_sent, true,
+                  true, 4, 3, 3},
         rule_case{"blocked", denied(retry_denial::blocked), blocked},
         rule_case{"body_not_held", denied(retry_denial::body_not_buffered), not_sent, true, false},
-        rule_case{"fifth_attempt_ended", paid_retry, not_run, true, true, 5},
+        rule_case{"fifth_attempt_ended", budgeted_retry, not_run, true, true, 5},
         rule_case{"sixth_attempt_ended", denied(retry_denial::too_many_attempts), not_sent, true,
                   true, 6},
-        rule_case{"last_arrival_but_one", paid_retry, not_run, true, true, 2, 2, 3},
+        rule_case{"last_arrival_but_one", budgeted_retry, not_run, true, true, 2, 2, 3},
         rule_case{"last_arrival", denied(retry_denial::too_many_arrivals), not_run, true, true, 3,
                   3, 3},
         rule_case{"single_arrival_allowed", denied(retry_denial::too_many_arrivals), unknown, true,
                   true, 1, 1, 1},
-        rule_case{"one_server_lost", paid_retry, unknown, true, true, 1, 1, 3, 1},
+        rule_case{"one_server_lost", budgeted_retry, unknown, true, true, 1, 1, 3, 1},
         rule_case{"two_servers_lost", denied(retry_denial::too_many_lost_runs), unknown, true, true,
                   2, 2, 3, 2},
         rule_case{"two_servers_lost_and_then_not_sent", denied(retry_denial::too_many_lost_runs),
                   not_sent, true, true, 3, 2, 3, 2},
-        rule_case{"ten_milliseconds_left", paid_retry, not_run, true, true, 1, 1, 3, 0,
+        rule_case{"ten_milliseconds_left", budgeted_retry, not_run, true, true, 1, 1, 3, 0,
                   milliseconds(10)},
         rule_case{"less_than_ten_milliseconds_left", denied(retry_denial::no_time_left), not_sent,
                   true, true, 1, 1, 3, 0, Duration(9999)},
         rule_case{"deadline_passed", denied(retry_denial::no_time_left), not_sent, true, true, 1, 1,
                   3, 0, milliseconds(-1)},
-        // Where two denials apply, the earlier one of the list is given.
+        // If two denials apply, the reason is the earlier one of retry_denial.
         rule_case{"body_before_attempts", denied(retry_denial::body_not_buffered), not_sent, true,
                   false, 6},
         rule_case{"attempts_before_time", denied(retry_denial::too_many_attempts), not_sent, true,
