--- a/core/answers/front_shedding.h
+++ b/core/answers/front_shedding.h
@@ -1,7 +1,8 @@
-// Which client's requests are refused where they begin, for overload at a service that they need.
+// Load shedding at the edge: decides whether a client's request is refused because of overload at a
+// service that it needs.
 //
-// A call of a server is never refused here: its tree of calls has cost something already. Of
-// clients' requests the least urgent are refused first (shed_share). Pure.
+// A call of a server is never refused here, since work was already done for its call tree. The
+// least urgent client requests are refused first (shed_share). Stateless.
 #pragma once
 
 #include <cstdint>
@@ -13,15 +14,16 @@
 
 namespace ramppond {
 
-/// Whether a request is treated as a call. What carries a tenant's key is a client's, even if its
-/// deadline could be that of a call.
+/// Returns whether a request is treated as a call of a server. A request with a tenant's key comes
+/// from a client, even if its deadline matches that of a call.
 constexpr auto is_call_of_server(request_origin origin, bool has_tenant) -> bool {
   return origin != request_origin::client && !has_tenant;
 }
 
-/// The first of `below` whose overload refuses a client's request, or nullptr. `less_urgent`: ranks
-/// of clients' requests that are refused before it. Each service is drawn for on its own, so a
-/// request that needs two overloaded services is refused for either.
+/// Returns the first service of `below` whose overload refuses a client's request, or nullptr.
+/// `less_urgent`: number of ranks of client requests that are refused before it. There is one
+/// random draw for each service, so a request that needs two overloaded services may be refused for
+/// either.
 auto refusing_overload(const std::vector<service_overload>& below, std::uint32_t less_urgent,
                        Random& random) -> const service_overload*;
 
--- a/core/answers/own_answer.cc
+++ b/core/answers/own_answer.cc
@@ -12,7 +12,7 @@
 using source = retry_after_source;
 using counter = own_answer_counter;
 
-// By the order of the kinds.
+// In the order of own_answer_kind.
 constexpr std::array<own_answer_form, own_answer_kinds> table = {{
     {kind::no_configuration, 503, promise::not_run, source::without_configuration, counter::none,
      "no configuration"},
--- a/core/answers/retry_after.cc
+++ b/core/answers/retry_after.cc
@@ -8,8 +8,8 @@
   return std::max(goal / retry_after_divisor, retry_after_floor);
 }
 
-auto add_retry_after_jitter(Duration least, retry_after_draw draw) -> Duration {
-  const auto time = static_cast<double>(least.count()) * (1 + draw.value);
+auto add_retry_after_jitter(Duration min_time, retry_after_draw draw) -> Duration {
+  const auto time = static_cast<double>(min_time.count()) * (1 + draw.value);
   return Duration(static_cast<std::int64_t>(time));
 }
 
--- a/tests/core/answers/front_shedding_test.cc
+++ b/tests/core/answers/front_shedding_test.cc
@@ -22,7 +22,7 @@
 
 class call_of_server_table : public testing::TestWithParam<call_case> {};
 
-TEST_P(call_of_server_table, is_no_request_of_a_client) {
+TEST_P(call_of_server_table, distinguishes_calls_from_client_requests) {
   EXPECT_EQ(is_call_of_server(GetParam().origin, GetParam().has_tenant), GetParam().is_call);
 }
 
@@ -47,14 +47,14 @@
   *out << tested.name;
 }
 
-/// The first two draws lie between a quarter and a half.
-auto seed_of_middling_draws() -> std::uint64_t {
-  const auto middling = [](double draw) { return draw >= 0.25 && draw < 0.5; };
+/// Returns a seed whose first two draws lie between a quarter and a half.
+auto seed_with_mid_range_draws() -> std::uint64_t {
+  const auto is_mid_range = [](double draw) { return draw >= 0.25 && draw < 0.5; };
   for (auto seed = std::uint64_t(1);; ++seed) {
     auto random = Random(seed);
     const auto first = random.uniform();
     const auto second = random.uniform();
-    if (middling(first) && middling(second)) {
+    if (is_mid_range(first) && is_mid_range(second)) {
       return seed;
     }
   }
@@ -64,7 +64,7 @@
 
 TEST_P(front_shedding_table, draws_for_each_service_until_one_refuses) {
   const auto& tested = GetParam();
-  const auto seed = seed_of_middling_draws();
+  const auto seed = seed_with_mid_range_draws();
   auto random = Random(seed);
   const auto* refusing = refusing_overload(tested.below, tested.less_urgent, random);
   EXPECT_EQ(refusing == nullptr ? std::string() : refusing->service, tested.refused_for);
--- a/tests/core/answers/own_answer_test.cc
+++ b/tests/core/answers/own_answer_test.cc
@@ -13,19 +13,19 @@
 using counter = own_answer_counter;
 
 constexpr auto goal = Duration(milliseconds(1500));
-constexpr auto third_of_goal = Duration(milliseconds(500));
-constexpr auto stated = Duration(milliseconds(777));
+constexpr auto min_time_by_goal = Duration(milliseconds(500));
+constexpr auto exact_time = Duration(milliseconds(777));
 
-/// Time in Retry-After, stated or the least of what is drawn.
+/// The expected time in Retry-After: the exact time, or the minimum before jitter.
 struct expected_time {
   bool sent = false;
   bool drawn = false;
   Duration time{0};
 };
 constexpr auto no_time = expected_time{};
-constexpr auto drawn_by_goal = expected_time{true, true, third_of_goal};
+constexpr auto drawn_by_goal = expected_time{true, true, min_time_by_goal};
 constexpr auto drawn_without_goal = expected_time{true, true, milliseconds(400)};
-constexpr auto as_stated = expected_time{true, false, stated};
+constexpr auto exactly_as_given = expected_time{true, false, exact_time};
 
 struct answer_case {
   const char* name;
@@ -46,7 +46,7 @@
 
 class own_answer_table : public testing::TestWithParam<answer_case> {};
 
-TEST_P(own_answer_table, has_its_form) {
+TEST_P(own_answer_table, has_expected_form) {
   const auto& tested = GetParam();
   EXPECT_EQ(tested.answer.kind, tested.expected_kind);
   const auto& form = form_of(tested.answer.kind);
@@ -58,7 +58,7 @@
   EXPECT_EQ(reason_of(tested.answer), tested.reason);
 }
 
-TEST_P(own_answer_table, tells_when_to_come_back) {
+TEST_P(own_answer_table, has_expected_retry_after) {
   const auto& tested = GetParam();
   const auto verdict = retry_after_of(tested.answer, goal);
   EXPECT_EQ(!std::holds_alternative<no_retry_after>(verdict), tested.time.sent);
@@ -66,9 +66,9 @@
     EXPECT_TRUE(tested.time.drawn);
     EXPECT_EQ(drawn->least, tested.time.time);
   }
-  if (const auto* told = std::get_if<exact_retry_after>(&verdict)) {
+  if (const auto* exact = std::get_if<exact_retry_after>(&verdict)) {
     EXPECT_FALSE(tested.time.drawn);
-    EXPECT_EQ(told->time, tested.time.time);
+    EXPECT_EQ(exact->time, tested.time.time);
   }
 }
 
@@ -120,9 +120,9 @@
                     counter::no_authority,
                     "keys cannot be judged now",
                     drawn_by_goal},
-        answer_case{"beyond_tenant_limit", answer_beyond_tenant_limit(stated),
+        answer_case{"beyond_tenant_limit", answer_beyond_tenant_limit(exact_time),
                     kind::beyond_tenant_limit, 429, run_promise::rejected, source::quota,
-                    counter::beyond_limit, "beyond the tenant's limit", as_stated},
+                    counter::beyond_limit, "beyond the tenant's limit", exactly_as_given},
         answer_case{"overload_below", answer_downstream_overload("records"),
                     kind::downstream_overload, 503, run_promise::not_run, source::goal,
                     counter::shed, "overload of records", drawn_by_goal},
@@ -139,26 +139,26 @@
         answer_case{"attempts_not_run", answer_after_attempts({false, std::nullopt, "busy; full"}),
                     kind::attempts_not_run, 503, run_promise::not_run, source::goal, counter::none,
                     "busy; full", drawn_by_goal},
-        answer_case{"attempts_blocked", answer_after_attempts({false, stated, "barred; it"}),
+        answer_case{"attempts_blocked", answer_after_attempts({false, exact_time, "barred; it"}),
                     kind::attempts_blocked, 503, run_promise::not_run, source::block, counter::none,
-                    "barred; it", as_stated},
+                    "barred; it", exactly_as_given},
         answer_case{"attempts_may_have_run",
                     answer_after_attempts({true, std::nullopt, "connection lost"}),
                     kind::attempts_may_have_run, 502, run_promise::may_have_run, source::none,
                     counter::none, "connection lost", no_time},
         answer_case{"blocked_after_one_that_may_have_run",
-                    answer_after_attempts({true, stated, "barred; it"}),
+                    answer_after_attempts({true, exact_time, "barred; it"}),
                     kind::attempts_may_have_run, 502, run_promise::may_have_run, source::none,
                     counter::none, "barred; it", no_time}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(own_answer, the_table_has_a_row_for_each_kind_in_its_order) {
+TEST(own_answer, table_has_one_row_per_kind_in_order) {
   for (auto i = std::size_t(0); i < own_answer_kinds; ++i) {
     EXPECT_EQ(form_of(static_cast<kind>(i)).kind, static_cast<kind>(i));
   }
 }
 
-TEST(own_answer, only_what_may_be_sent_again_has_a_time_and_what_may_have_run_has_none) {
+TEST(own_answer, retry_after_is_sent_with_503_and_429_only) {
   for (auto i = std::size_t(0); i < own_answer_kinds; ++i) {
     const auto& form = form_of(static_cast<kind>(i));
     const auto tells_time = form.retry_after != source::none;
--- a/tests/core/answers/retry_after_test.cc
+++ b/tests/core/answers/retry_after_test.cc
@@ -8,36 +8,36 @@
 namespace ramppond {
 namespace {
 
-struct least_case {
+struct min_time_case {
   const char* name;
   Duration goal;
-  Duration least;
+  Duration min_time;
 };
 
 // Keeps the name of a test the same in every run.
-void PrintTo(const least_case& tested, std::ostream* out) {
+void PrintTo(const min_time_case& tested, std::ostream* out) {
   *out << tested.name;
 }
 
-class least_retry_after_table : public testing::TestWithParam<least_case> {};
+class min_retry_after_table : public testing::TestWithParam<min_time_case> {};
 
-TEST_P(least_retry_after_table, is_a_third_of_the_goal) {
-  EXPECT_EQ(min_retry_after_for(GetParam().goal), GetParam().least);
+TEST_P(min_retry_after_table, is_a_third_of_the_goal) {
+  EXPECT_EQ(min_retry_after_for(GetParam().goal), GetParam().min_time);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    table, least_retry_after_table,
-    testing::Values(least_case{"no_goal", Duration(0), milliseconds(100)},
-                    least_case{"short_goal", milliseconds(299), milliseconds(100)},
-                    least_case{"goal_of_three_times_the_least", milliseconds(300),
-                               milliseconds(100)},
-                    least_case{"long_goal", milliseconds(1200), milliseconds(400)},
-                    least_case{"rounded_down", Duration(1000001), Duration(333333)}),
+    table, min_retry_after_table,
+    testing::Values(min_time_case{"no_goal", Duration(0), milliseconds(100)},
+                    min_time_case{"short_goal", milliseconds(299), milliseconds(100)},
+                    min_time_case{"goal_of_three_times_the_least", milliseconds(300),
+                                  milliseconds(100)},
+                    min_time_case{"long_goal", milliseconds(1200), milliseconds(400)},
+                    min_time_case{"rounded_down", Duration(1000001), Duration(333333)}),
     [](const auto& info) { return std::string(info.param.name); });
 
 struct spread_case {
   const char* name;
-  Duration least;
+  Duration min_time;
   double draw;
   Duration time;
 };
@@ -46,15 +46,15 @@
   *out << tested.name;
 }
 
-class spread_retry_after_table : public testing::TestWithParam<spread_case> {};
+class jitter_retry_after_table : public testing::TestWithParam<spread_case> {};
 
-TEST_P(spread_retry_after_table, lies_between_the_least_and_twice_that) {
+TEST_P(jitter_retry_after_table, lies_between_the_minimum_and_twice_that) {
   const auto& tested = GetParam();
-  EXPECT_EQ(add_retry_after_jitter(tested.least, {tested.draw}), tested.time);
+  EXPECT_EQ(add_retry_after_jitter(tested.min_time, {tested.draw}), tested.time);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    table, spread_retry_after_table,
+    table, jitter_retry_after_table,
     testing::Values(spread_case{"least_draw", milliseconds(400), 0, milliseconds(400)},
                     spread_case{"middle_draw", milliseconds(400), 0.5, milliseconds(600)},
                     spread_case{"quarter_draw", milliseconds(100), 0.25, milliseconds(125)},
