--- a/core/rate_limit/effective_limit.cc
+++ b/core/rate_limit/effective_limit.cc
@@ -5,10 +5,10 @@
 namespace ramppond {
 namespace {
 
-// A limit stands for this time after the last answer that named it, in case a server leaves it out
-// of some answers. Shorter, such a server is flooded in between; longer, a server that is well
-// again gets its requests later.
-constexpr auto limit_outlasts_naming = seconds(1);
+// A limit stays in effect for this time after the last answer that named it, in case a server omits
+// it from some answers. With a shorter time such a server is overloaded in between; with a longer
+// one a recovered server gets its requests later.
+constexpr auto limit_retention = seconds(1);
 
 }  // namespace
 
@@ -22,13 +22,13 @@
       answered);
 }
 
-auto effective_limit::on_peer_report(request_rate told, TimePoint now) -> bool {
-  return !this->has_answer && this->take(told, now, now);
+auto effective_limit::on_peer_report(request_rate reported, TimePoint now) -> bool {
+  return !this->has_answer && this->take(reported, now, now);
 }
 
 auto effective_limit::take(request_rate rate, TimePoint dispatched, TimePoint now) -> bool {
-  const auto made_later = dispatched >= this->named;
-  if (this->limit && rate.per_second > this->limit->per_second && !made_later) {
+  const auto generated_later = dispatched >= this->named;
+  if (this->limit && rate.per_second > this->limit->per_second && !generated_later) {
     return false;
   }
   const auto changed = !this->limit || rate.per_second != this->limit->per_second;
@@ -38,8 +38,8 @@
 }
 
 auto effective_limit::lift(TimePoint dispatched, TimePoint now) -> bool {
-  const auto made_later = dispatched >= this->named;
-  if (!this->limit || !made_later || now - this->named < limit_outlasts_naming) {
+  const auto generated_later = dispatched >= this->named;
+  if (!this->limit || !generated_later || now - this->named < limit_retention) {
     return false;
   }
   this->limit.reset();
--- a/core/rate_limit/effective_limit.h
+++ b/core/rate_limit/effective_limit.h
@@ -1,14 +1,15 @@
-// Knows the limit of requests a second that the server beside a proxy names at present.
+// Tracks the rate limit that the server beside a proxy currently names in its answers.
 //
-// Input: what each answer of the server names, with the times at which its request was dispatched
-// and the answer came (microseconds), and what peers were told before this proxy had an answer.
-// Output: the limit in force. Owns it, and when it was named last. Pure, not thread safe.
+// Input: the limit in each answer of the server, with the times at which its request was dispatched
+// and the answer arrived (microseconds), and the limit that peers learned before this proxy had an
+// answer. Output: the limit in effect. Owns the limit and the time at which it was last named. No
+// I/O; not thread safe.
 //
-// Answers overtake each other: requests take different times, so an answer may have been made
-// before one that has come already. One was certainly made later than another only if its request
-// was dispatched after the other had come. A lower limit is taken from any answer, since too few
-// requests do less harm than too many; a higher one, and the end of the limit, only from an answer
-// that was certainly made later.
+// Answers may arrive out of order, since requests take different times. An answer was certainly
+// generated after another one only if its request was dispatched after the other answer arrived. A
+// lower limit is accepted from any answer, since too few requests do less harm than too many. A
+// higher limit or the removal of the limit is accepted only from an answer that was certainly
+// generated later.
 #pragma once
 
 #include <optional>
@@ -20,16 +21,17 @@
 
 class effective_limit {
  public:
-  /// An answer to a request that was dispatched at `dispatched` names this. Returns whether the
-  /// limit has changed; one that can't be read changes nothing.
+  /// Processes the limit in an answer to a request that was dispatched at `dispatched`. Returns
+  /// whether the limit in effect has changed. An unreadable limit is ignored.
   auto on_answer(const named_limit& named, TimePoint dispatched, TimePoint now) -> bool;
 
-  /// A peer was told this limit by an answer of the server. It holds if no answer has come here
-  /// yet, which is so after a restart of this proxy. Returns whether the limit has changed.
-  auto on_peer_report(request_rate told, TimePoint now) -> bool;
+  /// Processes a limit that a peer learned from an answer of the server. It takes effect only if
+  /// this proxy has received no answer yet, for example after its restart. Returns whether the
+  /// limit in effect has changed.
+  auto on_peer_report(request_rate reported, TimePoint now) -> bool;
 
   [[nodiscard]] auto rate() const -> std::optional<request_rate> { return this->limit; }
-  /// Time since the limit was named last; 0 without a limit.
+  /// Time since the limit was last named; 0 without a limit.
   [[nodiscard]] auto age(TimePoint now) const -> Duration;
 
  private:
@@ -37,8 +39,8 @@
   auto lift(TimePoint dispatched, TimePoint now) -> bool;
 
   std::optional<request_rate> limit;
-  TimePoint named{0};       // when the answer that named the limit last came
-  bool has_answer = false;  // an answer of the server has come
+  TimePoint named{0};       // arrival of the last answer that named the limit
+  bool has_answer = false;  // whether an answer of the server has arrived
 };
 
 }  // namespace ramppond
--- a/core/rate_limit/rate_bucket.cc
+++ b/core/rate_limit/rate_bucket.cc
@@ -6,15 +6,17 @@
 namespace ramppond {
 namespace {
 
-// Places that may pile up while nothing is offered, as a time at the rate. Longer, a server that
-// asked for less gets bursts; shorter, it gets less than it asked for when requests come unevenly.
+// Capacity of the bucket, as the time in which the rate fills it. With a longer time a server that
+// named a rate gets bursts above it; with a shorter one it gets less than its rate when requests
+// arrive unevenly.
 constexpr auto burst_time = milliseconds(250);
-constexpr double least_capacity = 1;
-// Requests a second. A server that names less, or 0, still gets so many: only an answer can tell
-// that it takes more again.
-constexpr double least_rate = 0.25;
-// Time constant of the count of offers. Shorter, single requests look like overload of a slow
-// server; longer, peers send a server its former load after the rate has come into force.
+constexpr double min_capacity = 1;
+// Requests per second. A server that names a lower rate or 0 still gets this many, since only an
+// answer can raise its rate again.
+constexpr double min_rate = 0.25;
+// Time constant of the smoothed number of offers. With a shorter time single requests look like
+// overload of a server with a low rate; with a longer one peers keep sending a server its former
+// load after the rate has taken effect.
 constexpr auto demand_smoothing_time = seconds(1);
 
 auto in_seconds(Duration time) -> double {
@@ -30,23 +32,23 @@
     return;
   }
   if (!this->rate) {
-    this->places = 0;
+    this->tokens = 0;
   }
-  this->rate = std::max(wanted->per_second, least_rate);
-  this->places = std::min(this->places, this->capacity());
+  this->rate = std::max(wanted->per_second, min_rate);
+  this->tokens = std::min(this->tokens, this->capacity());
 }
 
 auto rate_bucket::capacity() const -> double {
-  return std::max(least_capacity, this->rate.value_or(0) * in_seconds(burst_time));
+  return std::max(min_capacity, this->rate.value_or(0) * in_seconds(burst_time));
 }
 
-auto rate_bucket::places_at(TimePoint now) const -> double {
+auto rate_bucket::tokens_at(TimePoint now) const -> double {
   const auto gained = this->rate.value_or(0) * in_seconds(now - this->refilled);
-  return std::min(this->capacity(), this->places + gained);
+  return std::min(this->capacity(), this->tokens + gained);
 }
 
 void rate_bucket::refill(TimePoint now) {
-  this->places = this->places_at(now);
+  this->tokens = this->tokens_at(now);
   this->refilled = now;
 }
 
@@ -65,20 +67,20 @@
     return true;
   }
   this->refill(now);
-  if (this->places < 1) {
+  if (this->tokens < 1) {
     return false;
   }
-  this->places -= 1;
+  this->tokens -= 1;
   return true;
 }
 
 void rate_bucket::return_token(TimePoint now) {
   this->refill(now);
-  this->places = std::min(this->capacity(), this->places + 1);
+  this->tokens = std::min(this->capacity(), this->tokens + 1);
 }
 
 auto rate_bucket::wait_for(std::size_t wanted, TimePoint now) const -> Duration {
-  const auto missing = static_cast<double>(wanted) - this->places_at(now);
+  const auto missing = static_cast<double>(wanted) - this->tokens_at(now);
   if (!this->rate || missing <= 0) {
     return Duration(0);
   }
--- a/core/rate_limit/request_rate.cc
+++ b/core/rate_limit/request_rate.cc
@@ -12,7 +12,7 @@
 
 constexpr int decimals = 3;
 
-// Nothing if the text is not a decimal number.
+// Returns std::nullopt if the text is not a decimal number.
 auto decimal_of(const std::string& text) -> std::optional<double> {
   const auto is_part = [](unsigned char letter) {
     return std::isdigit(letter) != 0 || letter == '.';
--- a/core/rate_limit/request_rate.h
+++ b/core/rate_limit/request_rate.h
@@ -1,4 +1,4 @@
-// The type of a rate of requests, and what a server may name as the most that it takes.
+// The type of a request rate, and the rate limit that a server may name in its answers.
 #pragma once
 
 #include <optional>
@@ -15,28 +15,28 @@
   return left.per_second == right.per_second;
 }
 
-/// Requests a second with three decimals; empty for none. For logs.
+/// Formats a rate for logs: requests per second with three decimals, empty for std::nullopt.
 auto text_of(const std::optional<request_rate>& rate) -> std::string;
 
-/// The limit that a server names, and what is offered to it of late as a multiple of that.
+/// The limit that a server names, and the requests recently offered to it as a multiple of it.
 struct rate_load {
   request_rate limit;
   double demand = 0;
 };
 
-/// The answer names no limit: the server takes what it has slots for.
+/// The answer names no limit; only the slots of the server limit its requests.
 struct no_limit {};
 
-/// The answer names a limit that cannot be read, so that what was named before still stands.
+/// The answer names a limit that cannot be parsed, so that the previous limit stays in effect.
 struct unreadable_limit {
   std::string reason;
 };
 
-/// The limit that one answer of a server names: requests that it takes from all callers together.
+/// The limit in one answer of a server. It applies to the requests of all callers together.
 using named_limit = std::variant<no_limit, request_rate, unreadable_limit>;
 
-/// From the values of all fields of one answer that are named `field`. One decimal number of 0 or
-/// more is a limit; digits and at most one point, nothing else.
+/// Parses the values of all fields of one answer with the name `field`. A limit is a single decimal
+/// number of 0 or more that consists of digits and at most one point.
 auto parse_limit(const std::string& field, const std::vector<std::string>& values) -> named_limit;
 
 }  // namespace ramppond
--- a/tests/core/rate_limit/effective_limit_test.cc
+++ b/tests/core/rate_limit/effective_limit_test.cc
@@ -8,8 +8,8 @@
 namespace ramppond {
 namespace {
 
-/// One answer of the server, in milliseconds since the first dispatch.
-struct answer_made {
+/// One answer of the server. Times in milliseconds since the first dispatch.
+struct server_answer {
   int dispatched_ms;
   int came_ms;
   named_limit named;
@@ -17,8 +17,8 @@
 
 struct answers_case {
   const char* name;
-  std::vector<answer_made> answers;
-  std::optional<double> limit;  // afterwards, requests a second
+  std::vector<server_answer> answers;
+  std::optional<double> limit;  // expected afterwards, in requests per second
 };
 
 // Keeps the name of a test the same in every run.
@@ -28,7 +28,7 @@
 
 class limit_after_answers : public testing::TestWithParam<answers_case> {};
 
-TEST_P(limit_after_answers, is_the_newest_that_the_server_named) {
+TEST_P(limit_after_answers, is_the_latest_named_by_the_server) {
   auto limit = effective_limit();
   for (const auto& answer : GetParam().answers) {
     limit.on_answer(answer.named, milliseconds(answer.dispatched_ms), milliseconds(answer.came_ms));
@@ -70,7 +70,7 @@
             "what_cannot_be_read_changes_nothing", {{0, 10, twelve}, {2000, 2010, nonsense}}, 12},
         answers_case{"what_cannot_be_read_names_nothing", {{0, 10, nonsense}}, std::nullopt}));
 
-TEST(effective_limit, is_taken_from_a_peer_until_the_server_has_answered) {
+TEST(effective_limit, accepts_peer_reports_until_the_server_has_answered) {
   auto limit = effective_limit();
   EXPECT_TRUE(limit.on_peer_report({12}, seconds(1)));
   EXPECT_EQ(limit.rate()->per_second, 12);
@@ -79,7 +79,7 @@
   EXPECT_EQ(limit.rate()->per_second, 20);
 }
 
-TEST(effective_limit, says_how_long_ago_it_was_named) {
+TEST(effective_limit, age_counts_from_the_last_naming) {
   auto limit = effective_limit();
   EXPECT_EQ(limit.age(seconds(9)), Duration(0));
   limit.on_answer(twelve, seconds(1), seconds(2));
--- a/tests/core/rate_limit/rate_bucket_test.cc
+++ b/tests/core/rate_limit/rate_bucket_test.cc
@@ -8,7 +8,7 @@
 namespace ramppond {
 namespace {
 
-/// Requests that are dispatched when one is offered each millisecond.
+/// Offers one request per millisecond and returns how many are dispatched.
 auto dispatched(rate_bucket& bucket, TimePoint from, Duration time) -> int {
   auto taken = 0;
   for (auto now = from; now < from + time; now += milliseconds(1)) {
@@ -18,14 +18,14 @@
   return taken;
 }
 
-TEST(rate_bucket, without_a_rate_lets_everything_pass) {
+TEST(rate_bucket, admits_all_requests_without_a_rate) {
   auto bucket = rate_bucket();
   EXPECT_EQ(dispatched(bucket, seconds(1), seconds(1)), 1000);
   EXPECT_EQ(bucket.demand(seconds(2)), 0);
   EXPECT_EQ(bucket.wait_for(100, seconds(2)), Duration(0));
 }
 
-TEST(rate_bucket, begins_without_places) {
+TEST(rate_bucket, begins_without_tokens) {
   auto bucket = rate_bucket();
   bucket.set(request_rate{10}, seconds(60));
   EXPECT_FALSE(bucket.take(seconds(60)));
@@ -34,7 +34,7 @@
   EXPECT_TRUE(bucket.take(seconds(60) + milliseconds(100)));
 }
 
-TEST(rate_bucket, keeps_no_more_after_a_pause_than_a_quarter_of_a_second_allows) {
+TEST(rate_bucket, holds_at_most_a_quarter_of_a_second_of_tokens) {
   auto bucket = rate_bucket();
   bucket.set(request_rate{40}, seconds(1));
   auto burst = 0;
@@ -44,7 +44,7 @@
   EXPECT_EQ(burst, 10);
 }
 
-TEST(rate_bucket, gives_a_place_back_that_was_not_used) {
+TEST(rate_bucket, returned_token_can_be_taken_again) {
   auto bucket = rate_bucket();
   bucket.set(request_rate{1}, seconds(0));
   ASSERT_TRUE(bucket.take(seconds(1)));
@@ -53,24 +53,24 @@
   EXPECT_TRUE(bucket.take(seconds(1)));
 }
 
-TEST(rate_bucket, a_change_hands_out_no_places) {
+TEST(rate_bucket, rate_change_adds_no_tokens) {
   auto bucket = rate_bucket();
   bucket.set(request_rate{4}, seconds(0));
-  const auto between_places = TimePoint(milliseconds(2100));
-  dispatched(bucket, seconds(0), between_places);
+  const auto between_tokens = TimePoint(milliseconds(2100));
+  dispatched(bucket, seconds(0), between_tokens);
   for (const auto rate : {400.0, 4.0, 400.0, 4.0}) {
-    bucket.set(request_rate{rate}, between_places);
-    EXPECT_FALSE(bucket.take(between_places));
+    bucket.set(request_rate{rate}, between_tokens);
+    EXPECT_FALSE(bucket.take(between_tokens));
   }
 }
 
-TEST(rate_bucket, tries_a_server_that_names_zero_now_and_then) {
+TEST(rate_bucket, rate_zero_still_admits_probes) {
   auto bucket = rate_bucket();
   bucket.set(request_rate{0}, seconds(0));
   EXPECT_EQ(dispatched(bucket, seconds(0), seconds(12)), 2);
 }
 
-TEST(rate_bucket, demand_counts_what_is_offered_whether_or_not_it_passes) {
+TEST(rate_bucket, demand_counts_all_offered_requests) {
   auto bucket = rate_bucket();
   dispatched(bucket, seconds(0), seconds(5));
   bucket.set(request_rate{100}, seconds(5));
@@ -80,7 +80,7 @@
   EXPECT_LT(bucket.demand(seconds(14)), 0.5);
 }
 
-TEST(rate_bucket, no_window_gets_more_than_the_rate_and_a_quarter_of_a_second) {
+TEST(rate_bucket, no_window_exceeds_the_rate_and_the_burst) {
   rc::check("in no span more than the rate, a burst and one", [] {
     const auto rate = *rc::gen::inRange(1, 200);
     const auto pauses = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 60));
