--- a/core/lifecycle/local_server.cc
+++ b/core/lifecycle/local_server.cc
@@ -5,12 +5,14 @@
 namespace ramppond {
 namespace {
 
-// Bounds memory; late heartbeats of older incarnations are rare.
+// Maximum number of incarnations that are kept. Bounds memory; late heartbeats of older
+// incarnations are rare.
 constexpr std::size_t kRememberedIncarnations = 64;
-// A clock that was set back makes a new server look older than its predecessor. After this silence
-// of the current server, three missed heartbeats of the usual three seconds, it is taken over all
-// the same. Shorter, late heartbeats of a former server take over; longer, the new one stays idle.
-constexpr Duration kSilenceBeforeOlderStart = seconds(10);
+// A clock that was set back makes a new server look older than its predecessor. It still replaces
+// the current server after this time without a heartbeat of the latter: three missed heartbeats of
+// the usual three seconds. With a shorter time late heartbeats of a former server replace the
+// current one; with a longer one the new server stays idle.
+constexpr Duration kSilenceBeforeReplacement = seconds(10);
 
 }  // namespace
 
@@ -27,7 +29,7 @@
   const std::string incarnation = heartbeat.incarnation();
   const bool first = incarnations_.count(incarnation) == 0;
   if (first) {
-    makeRoom();
+    evictIncarnation();
   }
   Incarnation& sender = incarnations_[incarnation];
   if (sender.left || (!first && heartbeat.sequence <= sender.sequence)) {
@@ -36,18 +38,19 @@
   sender.sequence = heartbeat.sequence;
   sender.draining = heartbeat.draining;
   if (known_ && !isCurrent(incarnation)) {
-    const bool heard_again = std::exchange(contender_, incarnation) == incarnation;
-    if (!maySucceed(heartbeat, first, heard_again, now)) {
+    const bool heard_again = std::exchange(challenger_, incarnation) == incarnation;
+    if (!mayReplaceCurrent(heartbeat, first, heard_again, now)) {
       return false;
     }
   }
-  return takeOver(heartbeat, now);
+  return acceptAsCurrent(heartbeat, now);
 }
 
-bool LocalServer::takeOver(const ServerHeartbeat& heartbeat, TimePoint now) {
+bool LocalServer::acceptAsCurrent(const ServerHeartbeat& heartbeat, TimePoint now) {
   const bool same = isCurrent(heartbeat.incarnation());
   const bool was_draining = draining_since_.has_value();
-  const bool draining = heartbeat.draining || incarnations_[heartbeat.incarnation()].said_leaving;
+  const bool draining =
+      heartbeat.draining || incarnations_[heartbeat.incarnation()].reported_leaving;
   const bool changed = !same || was_draining != draining || current_.slots != heartbeat.slots ||
                        current_.service != heartbeat.service;
   if (!draining) {
@@ -55,22 +58,22 @@
   } else if (!same || !was_draining) {
     draining_since_ = now;
   }
-  contender_.clear();
+  challenger_.clear();
   known_ = true;
   current_ = heartbeat;
   last_heartbeat_ = now;
   return changed;
 }
 
-// Of two servers at one address the one that started later is alive, whatever arrives late from the
-// other. Where they don't report when they started, the one that has sent fewer heartbeats started
-// later. One that goes on to send heartbeats while the other is silent is alive too.
-bool LocalServer::maySucceed(const ServerHeartbeat& heartbeat, bool first, bool heard_again,
-                             TimePoint now) const {
+// Of two servers at one address, the one that started later is alive, even if heartbeats of the
+// other arrive late. If they don't report their start times, the one that has sent fewer heartbeats
+// started later. A server that continues to send heartbeats while the other is silent is alive too.
+bool LocalServer::mayReplaceCurrent(const ServerHeartbeat& heartbeat, bool first, bool heard_again,
+                                    TimePoint now) const {
   if (heartbeat.started_ms && current_.started_ms &&
       *heartbeat.started_ms != *current_.started_ms) {
     const bool later = *heartbeat.started_ms > *current_.started_ms;
-    return later || (heard_again && now - last_heartbeat_ >= kSilenceBeforeOlderStart);
+    return later || (heard_again && now - last_heartbeat_ >= kSilenceBeforeReplacement);
   }
   return first || heard_again || heartbeat.sequence < current_.sequence;
 }
@@ -81,7 +84,7 @@
   const std::string leaving =
       of_current ? current : incarnationName(leave.instance_id, leave.started_ms);
   if (incarnations_.count(leaving) == 0) {
-    makeRoom();
+    evictIncarnation();
   }
   incarnations_[leaving].left = true;
   if (current != leaving || draining_since_) {
@@ -95,7 +98,7 @@
   if (!isCurrent(incarnation)) {
     return false;
   }
-  incarnations_[incarnation].said_leaving = true;
+  incarnations_[incarnation].reported_leaving = true;
   if (draining_since_) {
     return false;
   }
@@ -118,7 +121,7 @@
 bool LocalServer::announcedLeave(const std::string& incarnation) const {
   const auto found = incarnations_.find(incarnation);
   return found != incarnations_.end() &&
-         (found->second.left || found->second.draining || found->second.said_leaving);
+         (found->second.left || found->second.draining || found->second.reported_leaving);
 }
 
 FenceVerdict LocalServer::admit(const std::string& incarnation, const std::string& service,
@@ -148,7 +151,7 @@
   return record;
 }
 
-void LocalServer::makeRoom() {
+void LocalServer::evictIncarnation() {
   if (incarnations_.size() < kRememberedIncarnations) {
     return;
   }
--- a/core/lifecycle/proxy_stop_times.h
+++ b/core/lifecycle/proxy_stop_times.h
@@ -1,6 +1,6 @@
-// When the phases of a proxy's planned stop may begin, by the grace that the platform gives it.
+// Computes the times of the phases of a proxy's planned stop from the grace period of the platform.
 //
-// Pure, thread safe.
+// Stateless and thread safe.
 #pragma once
 
 #include <cstdint>
@@ -10,23 +10,25 @@
 
 namespace ramppond {
 
-// Clients stop sending after they were told twice, a second apart, that the proxy is not ready.
-// With less, they send to listeners that are closed; with more, the stop takes longer than it must.
+// Clients stop sending after two readiness checks, a second apart, have reported that the proxy is
+// not ready. With a shorter time they send to closed listeners; with a longer one the stop takes
+// longer than necessary.
 constexpr auto min_stop_time = milliseconds(2100);
 
-// Until then peers that know no other server may still send requests. With less, services are down
-// whose only server is beside a stopping proxy; with more, what was begun late does not end before
-// the proxy does.
+// Until then peers that know no other server may still send requests. With a shorter time services
+// whose only server is beside a stopping proxy are unavailable; with a longer one requests that
+// begin late do not end before the proxy does.
 constexpr auto peers_served_while_stopping = milliseconds(1200);
 
-// Of the grace. Requests that come all the time do not keep the proxy from closing: what was read
-// until then has the other half.
+// Closing begins at the latest after the grace period divided by this, even if requests keep
+// arriving. Requests read until then have the other half.
 constexpr std::int64_t close_latest_divisor = 2;
 
-// The proxy ends itself this long before the platform would end it.
+// The proxy ends this long before the platform would kill it.
 constexpr auto grace_margin = milliseconds(300);
 
-/// `grace` is the time from the platform's signal to stop until it ends the process.
+/// Returns the times for a grace period of `grace`: the time from the platform's stop signal until
+/// it kills the process.
 [[nodiscard]] constexpr auto proxy_stop_times(Duration grace) -> stop_times {
   return {peers_served_while_stopping, min_stop_time, grace / close_latest_divisor,
           grace - grace_margin};
--- a/core/overloaded.h
+++ b/core/overloaded.h
@@ -1,8 +1,10 @@
-// A visitor made of one function for each alternative of a std::variant.
+// Helper for std::visit.
 #pragma once
 
 namespace ramppond {
 
+/// Combines several function objects into one visitor with an overload for each alternative of a
+/// std::variant.
 template <class... Visitors>
 struct overloaded : Visitors... {
   using Visitors::operator()...;
--- a/core/random.h
+++ b/core/random.h
@@ -1,4 +1,4 @@
-// The one random generator: seeded by the driver, so that a run can be repeated exactly.
+// The random number generator of the project. The caller seeds it, so that runs are reproducible.
 #pragma once
 
 #include <cstdint>
@@ -7,7 +7,7 @@
 
 namespace ramppond {
 
-/// PCG (O'Neill, 2014). Copying it copies the sequence.
+/// PCG generator (O'Neill, 2014). A copy produces the same sequence as the original.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : engine_(seed) {}
--- a/core/time.h
+++ b/core/time.h
@@ -1,4 +1,4 @@
-// Time as the pure classes see it: a driver passes the present moment into every call.
+// Time types of core/. Classes in core/ do not read a clock: callers pass the current time.
 #pragma once
 
 #include <chrono>
@@ -9,11 +9,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A length of time; all of core/ counts in microseconds.
+/// A duration in microseconds.
 using Duration = std::chrono::microseconds;
 
-/// A moment, as the time since an arbitrary origin that the driver chooses. It never runs
-/// backwards within one process and means nothing to another process.
+/// A point in time, as the time since an arbitrary origin that the caller chooses. It is monotonic
+/// within one process and must not be compared with values of another process.
 using TimePoint = std::chrono::microseconds;
 
 }  // namespace ramppond
--- a/tests/core/lifecycle/local_server_test.cc
+++ b/tests/core/lifecycle/local_server_test.cc
@@ -17,7 +17,7 @@
   return heartbeat;
 }
 
-TEST(LocalServer, AdmitsOnlyTheInstanceThatWasHeard) {
+TEST(LocalServer, AdmitsOnlyTheRegisteredInstance) {
   LocalServer server(kDrainingAdmission);
   EXPECT_EQ(server.admit("a", "desk", TimePoint(0)), FenceVerdict::kNoServer);
   EXPECT_TRUE(server.onHeartbeat(heartbeat("a", 1), TimePoint(0)));
@@ -27,7 +27,7 @@
   EXPECT_FALSE(server.onHeartbeat(heartbeat("a", 2), TimePoint(0)));
 }
 
-TEST(LocalServer, ALeavingInstanceTakesNothingNewAfterItsTime) {
+TEST(LocalServer, DrainingInstanceIsFencedAfterDrainingAdmission) {
   LocalServer server(kDrainingAdmission);
   server.onHeartbeat(heartbeat("a", 1), TimePoint(0));
   EXPECT_TRUE(server.onHeartbeat(heartbeat("a", 2, true), seconds(1)));
@@ -37,7 +37,7 @@
   EXPECT_EQ(server.record().state, InstanceState::kDraining);
 }
 
-TEST(LocalServer, ALateHeartbeatDoesNotTakeBackALeave) {
+TEST(LocalServer, HeartbeatAfterLeaveIsIgnored) {
   LocalServer server(kDrainingAdmission);
   server.onHeartbeat(heartbeat("a", 4), TimePoint(0));
   EXPECT_TRUE(server.onLeave({"a", std::nullopt}, TimePoint(0)));
@@ -45,7 +45,7 @@
   EXPECT_EQ(server.admit("a", "desk", seconds(2)), FenceVerdict::kDraining);
 }
 
-TEST(LocalServer, ALateHeartbeatOfAFormerInstanceChangesNothing) {
+TEST(LocalServer, LateHeartbeatOfFormerInstanceIsIgnored) {
   LocalServer server(kDrainingAdmission);
   server.onHeartbeat(heartbeat("old", 40), TimePoint(0));
   EXPECT_TRUE(server.onHeartbeat(heartbeat("new", 1), TimePoint(0)));
@@ -53,7 +53,7 @@
   EXPECT_EQ(server.admit("new", "desk", TimePoint(0)), FenceVerdict::kAdmit);
 }
 
-TEST(LocalServer, AHeartbeatThatWasHeldUpDoesNotBringBackACrashedInstance) {
+TEST(LocalServer, DelayedHeartbeatDoesNotRestoreACrashedInstance) {
   LocalServer server(kDrainingAdmission);
   server.onHeartbeat(heartbeat("old", 40), TimePoint(0));
   EXPECT_TRUE(server.onHeartbeat(heartbeat("new", 1), seconds(2)));
@@ -64,7 +64,7 @@
   EXPECT_EQ(server.admit("new", "desk", seconds(5)), FenceVerdict::kAdmit);
 }
 
-TEST(LocalServer, AnInstanceThatGoesOnWhileTheOtherIsSilentIsTakenBack) {
+TEST(LocalServer, InstanceIsRestoredIfOnlyItSendsHeartbeats) {
   LocalServer server(kDrainingAdmission);
   server.onHeartbeat(heartbeat("living", 8), TimePoint(0));
   server.onHeartbeat(heartbeat("late", 2), TimePoint(0));
@@ -73,16 +73,16 @@
   EXPECT_EQ(server.admit("living", "desk", seconds(2)), FenceVerdict::kAdmit);
 }
 
-TEST(LocalServer, AfterARestartTheLivingInstanceIsHeardAgain) {
+TEST(LocalServer, LiveInstanceIsRestoredAfterProxyRestart) {
   LocalServer server(kDrainingAdmission);
   server.onHeartbeat(heartbeat("new", 5), TimePoint(0));
-  server.onHeartbeat(heartbeat("old", 40), TimePoint(0));  // Late, and unknown since the restart.
+  server.onHeartbeat(heartbeat("old", 40), TimePoint(0));  // Late and from an unknown incarnation.
   EXPECT_TRUE(server.onHeartbeat(heartbeat("new", 6), TimePoint(0)));
   EXPECT_FALSE(server.onHeartbeat(heartbeat("old", 40), TimePoint(0)));
   EXPECT_EQ(server.admit("new", "desk", TimePoint(0)), FenceVerdict::kAdmit);
 }
 
-TEST(LocalServer, AWrongInstanceIsUnknownUntilItsNextHeartbeat) {
+TEST(LocalServer, WrongInstanceIsUnknownUntilItsNextHeartbeat) {
   LocalServer server(kDrainingAdmission);
   server.onHeartbeat(heartbeat("a", 1), TimePoint(0));
   EXPECT_FALSE(server.onWrongInstance("b"));
@@ -92,7 +92,7 @@
   EXPECT_EQ(server.admit("a", "desk", TimePoint(0)), FenceVerdict::kAdmit);
 }
 
-TEST(LocalServer, ARefusedConnectionEndsAnInstanceOnlyIfNoOtherStands) {
+TEST(LocalServer, RefusedConnectionEndsInstanceOnlyWithoutOtherConnections) {
   LocalServer server(kDrainingAdmission);
   server.onHeartbeat(heartbeat("a", 1), TimePoint(0));
   EXPECT_FALSE(server.onConnectionRefused("a", 3));
@@ -101,17 +101,17 @@
   EXPECT_EQ(server.admit("a", "desk", TimePoint(0)), FenceVerdict::kNoServer);
 }
 
-ServerHeartbeat bornAt(std::int64_t started_ms, const std::string& id, std::uint64_t sequence) {
+ServerHeartbeat startedAt(std::int64_t started_ms, const std::string& id, std::uint64_t sequence) {
   ServerHeartbeat report = heartbeat(id, sequence);
   report.started_ms = started_ms;
   return report;
 }
 
-TEST(LocalServer, ARestartUnderTheSameIdentityIsAnotherIncarnation) {
+TEST(LocalServer, RestartWithSameIdIsAnotherIncarnation) {
   LocalServer server(kDrainingAdmission);
-  server.onHeartbeat(bornAt(1000, "a", 40), TimePoint(0));
+  server.onHeartbeat(startedAt(1000, "a", 40), TimePoint(0));
   const std::string former = server.record().server_incarnation;
-  EXPECT_TRUE(server.onHeartbeat(bornAt(9000, "a", 1), seconds(2)));
+  EXPECT_TRUE(server.onHeartbeat(startedAt(9000, "a", 1), seconds(2)));
   EXPECT_NE(server.record().server_incarnation, former);
   EXPECT_EQ(server.admit(former, "desk", seconds(2)), FenceVerdict::kOtherInstance);
   EXPECT_EQ(server.admit(server.record().server_incarnation, "desk", seconds(2)),
@@ -119,37 +119,37 @@
   EXPECT_EQ(server.heartbeat().instance_id, "a");
 }
 
-TEST(LocalServer, ARestartedServerHasLeftNothingAndDrainsNothing) {
+TEST(LocalServer, RestartedServerDoesNotInheritLeave) {
   LocalServer server(kDrainingAdmission);
-  server.onHeartbeat(bornAt(1000, "a", 40), TimePoint(0));
+  server.onHeartbeat(startedAt(1000, "a", 40), TimePoint(0));
   EXPECT_TRUE(server.onLeave({"a", 1000}, TimePoint(0)));
-  EXPECT_TRUE(server.onHeartbeat(bornAt(9000, "a", 1), seconds(2)));
+  EXPECT_TRUE(server.onHeartbeat(startedAt(9000, "a", 1), seconds(2)));
   EXPECT_EQ(server.record().state, InstanceState::kReady);
-  EXPECT_FALSE(server.onLeave({"a", 1000}, seconds(3)));  // The former one's, late.
+  EXPECT_FALSE(server.onLeave({"a", 1000}, seconds(3)));  // Late leave of the former incarnation.
   EXPECT_EQ(server.record().state, InstanceState::kReady);
   EXPECT_TRUE(server.onLeave({"a", std::nullopt}, seconds(4)));
   EXPECT_EQ(server.record().state, InstanceState::kDraining);
 }
 
-TEST(LocalServer, HeartbeatsOfAFormerIncarnationThatComeLateChangeNothing) {
+TEST(LocalServer, LateHeartbeatsOfFormerIncarnationAreIgnored) {
   LocalServer server(kDrainingAdmission);
-  server.onHeartbeat(bornAt(9000, "a", 1), TimePoint(0));
+  server.onHeartbeat(startedAt(9000, "a", 1), TimePoint(0));
   for (std::uint64_t sequence = 40; sequence < 44; ++sequence) {
-    EXPECT_FALSE(server.onHeartbeat(bornAt(1000, "a", sequence), seconds(1)));
-    EXPECT_FALSE(server.onHeartbeat(bornAt(1000, "b", sequence), seconds(1)));
+    EXPECT_FALSE(server.onHeartbeat(startedAt(1000, "a", sequence), seconds(1)));
+    EXPECT_FALSE(server.onHeartbeat(startedAt(1000, "b", sequence), seconds(1)));
   }
   EXPECT_EQ(server.heartbeat().started_ms, 9000);
 }
 
-TEST(LocalServer, AServerThatLooksOlderSinceItsClockWasSetBackIsTakenOnceTheOtherIsSilent) {
+TEST(LocalServer, ServerWithEarlierStartTimeReplacesASilentOne) {
   LocalServer server(kDrainingAdmission);
-  server.onHeartbeat(bornAt(9000, "a", 5), TimePoint(0));
-  EXPECT_FALSE(server.onHeartbeat(bornAt(7000, "a", 1), seconds(3)));
-  EXPECT_FALSE(server.onHeartbeat(bornAt(7000, "a", 2), seconds(6)));
-  EXPECT_TRUE(server.onHeartbeat(bornAt(7000, "a", 3), seconds(12)));
+  server.onHeartbeat(startedAt(9000, "a", 5), TimePoint(0));
+  EXPECT_FALSE(server.onHeartbeat(startedAt(7000, "a", 1), seconds(3)));
+  EXPECT_FALSE(server.onHeartbeat(startedAt(7000, "a", 2), seconds(6)));
+  EXPECT_TRUE(server.onHeartbeat(startedAt(7000, "a", 3), seconds(12)));
 }
 
-TEST(LocalServer, AnAnswerThatSaysItLeavesIsTheSameAsADrainingHeartbeat) {
+TEST(LocalServer, LeavingAnswerCountsAsDrainingHeartbeat) {
   LocalServer server(kDrainingAdmission);
   server.onHeartbeat(heartbeat("a", 1), TimePoint(0));
   EXPECT_FALSE(server.onLeavingAnswer("former", seconds(1)));
@@ -162,7 +162,7 @@
   EXPECT_TRUE(server.announcedLeave("a"));
 }
 
-TEST(LocalServer, AReadyHeartbeatDoesNotTakeBackWhatAnAnswerSaid) {
+TEST(LocalServer, ReadyHeartbeatDoesNotRevertLeavingAnswer) {
   LocalServer server(kDrainingAdmission);
   server.onHeartbeat(heartbeat("a", 1), TimePoint(0));
   server.onLeavingAnswer("a", seconds(1));
--- a/tests/core/lifecycle/planned_stop_test.cc
+++ b/tests/core/lifecycle/planned_stop_test.cc
@@ -30,7 +30,7 @@
 
 class planned_stop_table : public testing::TestWithParam<stop_case> {};
 
-TEST_P(planned_stop_table, reaches) {
+TEST_P(planned_stop_table, reaches_expected_phase) {
   auto stop = planned_stop(times, seconds(100));
   auto last = stop_phase::draining;
   for (const auto& seen : GetParam().seen) {
--- a/tests/core/lifecycle/proxy_stop_times_test.cc
+++ b/tests/core/lifecycle/proxy_stop_times_test.cc
@@ -22,7 +22,7 @@
 
 class proxy_stop_times_table : public testing::TestWithParam<grace_case> {};
 
-TEST_P(proxy_stop_times_table, follow_from_the_grace) {
+TEST_P(proxy_stop_times_table, follow_from_the_grace_period) {
   const auto times = proxy_stop_times(GetParam().grace);
   EXPECT_EQ(times.refuse_peers, milliseconds(1200));
   EXPECT_EQ(times.least, milliseconds(2100));
