--- a/core/admission/run_outcome.cc
+++ b/core/admission/run_outcome.cc
@@ -6,10 +6,10 @@
 constexpr int server_error = 500;
 constexpr int gateway_timeout = 504;
 
-// A server whose call has failed fails its own request for that, within this time. With less, a
-// failing service opens the breakers of the sound servers that call it; with more, a server that
-// fails on its own hides behind unrelated failures.
-constexpr auto failed_call_shows = milliseconds(20);
+// A server whose call failed fails its own request because of it within this time. With less, a
+// failing service opens the circuit breakers of the healthy servers that call it. With more, a
+// server's own failures are attributed to unrelated failed calls.
+constexpr auto failed_call_window = milliseconds(20);
 
 }  // namespace
 
@@ -37,7 +37,7 @@
   return ServerOutcome::kLost;
 }
 
-auto refusal_after(run_failure failure, answer_progress progress, bool others_stand)
+auto refusal_after(run_failure failure, answer_progress progress, bool has_other_connections)
     -> std::optional<inbound_refusal> {
   switch (failure) {
     case run_failure::no_socket:
@@ -45,7 +45,7 @@
     case run_failure::not_connected:
       return inbound_refusal::no_connection;
     case run_failure::refused:
-      return others_stand ? inbound_refusal::no_connection : inbound_refusal::server_gone;
+      return has_other_connections ? inbound_refusal::no_connection : inbound_refusal::server_gone;
     case run_failure::connection_lost:
     case run_failure::invalid_answer:
       break;
@@ -69,8 +69,8 @@
     case ServerOutcome::kNotRun:
       return breaker_signal::failure;
     case ServerOutcome::kFailed:
-      return since_failed_call < failed_call_shows ? breaker_signal::unknown
-                                                   : breaker_signal::failure;
+      return since_failed_call < failed_call_window ? breaker_signal::unknown
+                                                    : breaker_signal::failure;
     case ServerOutcome::kLost:
       return reused_connection ? breaker_signal::unknown : breaker_signal::failure;
     case ServerOutcome::kDeadline:
