--- a/core/admission/isolation_rule.cc
+++ b/core/admission/isolation_rule.cc
@@ -21,7 +21,7 @@
                                  return beginning(begins_alone{s.crashes == 1 ? suspicion::light
                                                                               : suspicion::heavy});
                                },
-                               [&](const on_trial&) {
+                               [&](const quarantined&) {
                                  return has_trial ? beginning(begins_alone{suspicion::heavy})
                                                   : beginning(begins_elsewhere{});
                                },
