--- a/core/tenants/api_keys.h
+++ b/core/tenants/api_keys.h
@@ -1,8 +1,7 @@
-// Finds the tenant that holds a key.
+// Finds the tenant that holds an API key.
 //
-// Owns an index of key digests; refers to the list of tenants that it was made from, which must
-// outlive it. The time of a look-up doesn't grow with the number of keys. Pure; any thread may
-// read.
+// Owns an index of key digests and refers to the list of tenants that it was built from, which must
+// outlive it. Lookup takes constant time. Immutable; safe to read from any thread.
 #pragma once
 
 #include <string>
@@ -18,7 +17,7 @@
  public:
   explicit api_keys(const std::vector<TenantDefinition>& tenants);
 
-  /// The tenant that holds `key`, or nullptr.
+  /// Returns the tenant that holds `key`, or nullptr.
   [[nodiscard]] auto find(std::string_view key) const -> const TenantDefinition*;
 
  private:
--- a/core/tenants/authority_lease.cc
+++ b/core/tenants/authority_lease.cc
@@ -5,19 +5,19 @@
 namespace ramppond {
 namespace {
 
-// An answer that a coordinator held leaves the lease two tenths old at most, so
-// that eight tenths are left for an election or a restart of all coordinators.
-// Fewer: the lease lapses meanwhile. More: more polls and proofs.
+// A coordinator may hold a poll before it answers, which leaves the lease at most two tenths old;
+// eight tenths remain for an election or a restart of all coordinators. Fewer renewals let the
+// lease expire during these; more cost additional polls and quorum confirmations.
 constexpr auto renewals_per_lease = 10;
-// The lease is fresh for its length divided by this. A proxy that gets answers
-// renews it well within that time. Larger: valid requests are put off by single
-// lost answers. Smaller: a new key is refused for good for longer.
+// The lease is fresh for its length divided by this. A proxy that gets answers renews it well
+// within that time. With a larger divisor a single lost answer delays valid requests; with a
+// smaller one a new key is refused permanently for longer.
 constexpr auto fresh_divisor = 3;
 
 }  // namespace
 
-void authority_lease::on_confirmed(TimePoint asked) {
-  this->start = std::max(asked, this->start.value_or(asked));
+void authority_lease::on_confirmed(TimePoint asked_at) {
+  this->start = std::max(asked_at, this->start.value_or(asked_at));
 }
 
 auto authority_lease::at(TimePoint now) const -> authority {
@@ -25,7 +25,7 @@
     return authority::fresh;
   }
   if (!this->start || now - *this->start >= *this->length) {
-    return authority::lapsed;
+    return authority::expired;
   }
   return now - *this->start < *this->length / fresh_divisor ? authority::fresh : authority::stale;
 }
--- a/core/tenants/credential.h
+++ b/core/tenants/credential.h
@@ -1,4 +1,4 @@
-// The credential of a request, as its header fields give it.
+// The credential that a request carries in its header fields.
 #pragma once
 
 #include <cstdint>
@@ -6,11 +6,11 @@
 
 namespace ramppond {
 
-/// What a request carries as credential.
+/// The kind of credential that a request carries.
 enum class CredentialForm : std::uint8_t {
-  kNone = 0,   ///< The request carries no credential.
-  kKey,        ///< It carries a key.
-  kMalformed,  ///< It carries something else, or several credentials.
+  kNone = 0,   ///< No credential.
+  kKey,        ///< One API key.
+  kMalformed,  ///< Not an API key, or several credentials.
 };
 
 struct Credential {
--- a/core/tenants/identity.h
+++ b/core/tenants/identity.h
@@ -1,7 +1,8 @@
-// Decides on whose behalf a request is sent, and whether it may go on.
+// Authenticates a request: finds the tenant that it is sent for and decides whether it may proceed.
 //
-// Input: the request's route and credential, the keys known and the state of the lease on them.
-// Output: a tenant, none, refused or not to be judged now. Holds no state. Pure; any thread.
+// Input: the request's route and credential, the known keys and the state of the lease on them.
+// Output: a tenant, no tenant, a refusal, or that the key cannot be verified now. Stateless; may be
+// called from any thread.
 #pragma once
 
 #include <variant>
@@ -13,22 +14,21 @@
 
 namespace ramppond {
 
-/// The request may go on, without a tenant where its route needs none.
+/// The request may proceed. `tenant` is nullptr if no valid key was given on a public route.
 struct identified {
   const TenantDefinition* tenant = nullptr;
 };
 
-/// No tenant holds the key, or the request carries no key: a retry gets the same answer.
+/// No tenant holds the key, or the request carries none. Permanent: a retry gets the same answer.
 struct key_refused {};
 
-/// Whether a tenant holds the key is not known at present: the request may be retried later.
+/// The lease does not allow to tell whether a tenant holds the key. The request may be retried.
 struct key_unverifiable {};
 
 using identity = std::variant<identified, key_refused, key_unverifiable>;
 
-/// The identity of a request to `route`, at a proxy that knows `keys` under a
-/// lease in state `held`.
+/// Returns the identity of a request to `route`. `lease_state` is the state of the lease on `keys`.
 [[nodiscard]] auto identify(const TrafficRoute& route, const api_keys& keys,
-                            const Credential& credential, authority held) -> identity;
+                            const Credential& credential, authority lease_state) -> identity;
 
 }  // namespace ramppond
--- a/core/tenants/key_digest.h
+++ b/core/tenants/key_digest.h
@@ -1,8 +1,8 @@
-// The form in which keys are held and compared.
+// Digests of API keys, the only form in which processes store, send and compare them.
 //
-// Only the operator's document holds keys. Proxies and messages between processes hold their
-// digests, from which a key can't be computed; a comparison of digests doesn't show how much of a
-// wrong key is right. Pure; any thread.
+// Plain keys appear only in the operator's document. A key cannot be computed from its digest, and
+// the time taken to compare digests does not reveal how much of a wrong key is right. Stateless;
+// may be called from any thread.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace ramppond {
 
-/// SHA-256 of a key, 32 bytes.
+/// Returns the SHA-256 digest of `key`, 32 bytes.
 [[nodiscard]] auto key_digest(std::string_view key) -> std::string;
 
 }  // namespace ramppond
--- a/core/tenants/quota_ledger.cc
+++ b/core/tenants/quota_ledger.cc
@@ -7,38 +7,37 @@
 namespace {
 
 constexpr auto rate_slot = milliseconds(100);
-// The arrival rate is the higher one of the last second and of these last slots,
-// if at least this many requests arrived in them: a step of a large tenant is
-// met sooner, while chance does not move a small one.
+// The arrival rate is the maximum of the rate over the last second and the rate over this many last
+// slots. The latter is used only if at least min_short_rate_arrivals requests arrived in them: a
+// sudden increase of a large tenant takes effect sooner, and chance does not affect a small one.
 constexpr std::int64_t short_rate_slots = 3;
 constexpr double min_short_rate_arrivals = 20;
-// The level of a bucket is spent, or paid back, over this time. Shorter, a sudden
-// start runs a whole burst before its reports arrive; longer, a tenant waits for
-// tokens that it has.
+// The level of a bucket is spent, or a negative level repaid, over this time. If it were shorter, a
+// sudden start would run a whole burst before its reports arrive; if longer, a tenant would wait
+// for tokens that it has.
 constexpr auto level_spending_time = seconds(2);
-// A new leader answers no earlier: proxies report every 250 ms, so it has not
-// heard from all of them before. Longer, proxies fall back to equal parts.
+// A new leader waits this long before it answers. Proxies report every 250 ms, so it has not heard
+// from all of them earlier. If it waited longer, proxies would fall back to equal shares.
 constexpr auto first_reports_time = milliseconds(400);
-// A proxy that has not reported for this time may be cut off, and may admit its
-// equal part of the bound.
+// A proxy that has not reported for this time may be disconnected and may admit its equal share of
+// the bound.
 constexpr auto silent_after = milliseconds(800);
-// A silent proxy is taken for removed after this time. Shorter, a proxy that is
-// cut off for long and the others exceed the bound together; longer, the others
-// refuse requests on behalf of a proxy that is gone.
+// A silent proxy is considered removed after this time. If it were shorter, a proxy that is
+// disconnected for long would exceed the bound together with the others; if longer, the others
+// would refuse requests for the sake of a proxy that no longer exists.
 constexpr auto removed_after = seconds(15);
-// Of the bound, while some proxies are silent. The rest is for requests that are
+// Share of the bound that is used while some proxies are silent. The rest covers requests that are
 // reported late.
 constexpr double usable_bound_share = 0.85;
-// The arrival rate counts for less by this many standard deviations of its count
-// in a second, in proportion to the level of the bucket: a tenant near its limit
-// is not refused by chance while it has tokens. Higher, real excess is
-// admitted.
+// The arrival rate is reduced by up to this many standard deviations of the count of one second, in
+// proportion to the level of the bucket, so that random variation does not refuse requests of a
+// tenant near its limit while it has tokens. A higher value admits real excess.
 constexpr double tolerated_deviations = 1.5;
-// Of a burst; the rest is for requests that a sudden start runs before they are
-// reported.
+// Share of the burst that the bucket holds. The rest covers requests that run before they are
+// reported when a tenant starts suddenly.
 constexpr double usable_burst_share = 0.85;
 constexpr double thousandths = 1000;
-// Bounds memory: reports of further proxies are not counted.
+// Limits memory. Reports of further proxies are ignored.
 constexpr std::size_t max_proxies = 20000;
 
 auto in_seconds(Duration time) -> double {
@@ -47,7 +46,7 @@
 
 }  // namespace
 
-void quota_ledger::arrival_rate::forget(std::int64_t current) {
+void quota_ledger::arrival_rate::drop_expired_slots(std::int64_t current) {
   const auto passed = std::min<std::int64_t>(current - this->latest, slot_count);
   for (std::int64_t i = 1; i <= passed; ++i) {
     this->slots.at(static_cast<std::size_t>(this->latest + i) % slot_count) = 0;
@@ -57,12 +56,12 @@
 
 void quota_ledger::arrival_rate::add(double requests, TimePoint now) {
   const auto current = now / Duration(rate_slot);
-  this->forget(current);
+  this->drop_expired_slots(current);
   this->slots.at(static_cast<std::size_t>(current) % slot_count) += requests;
 }
 
 auto quota_ledger::arrival_rate::per_second(TimePoint now) -> double {
-  this->forget(now / Duration(rate_slot));
+  this->drop_expired_slots(now / Duration(rate_slot));
   auto all = 0.0;
   auto recent = 0.0;
   for (std::int64_t i = 0; i < static_cast<std::int64_t>(slot_count); ++i) {
@@ -148,8 +147,8 @@
   account->second.arrivals.add(std::max(arrived, 0.0), now);
 }
 
-auto quota_ledger::count_proxies(TimePoint now) -> fleet {
-  auto counted = fleet();
+auto quota_ledger::count_proxies(TimePoint now) -> proxy_counts {
+  auto counted = proxy_counts();
   for (auto it = this->proxies.begin(); it != this->proxies.end();) {
     const auto silence = now - it->second.last_report;
     if (silence > removed_after) {
@@ -162,11 +161,11 @@
   return counted;
 }
 
-// Proxies that are cut off go on with their equal part of the whole bound. The
-// others leave room for them, as far as the bound has no room beyond the limit.
-auto quota_ledger::usable_rate(const tenant_account& account, const fleet& proxies) const
+// Disconnected proxies keep admitting their equal share of the bound. The reporting ones reduce
+// their rate accordingly, as far as the bound leaves no room beyond the limit.
+auto quota_ledger::usable_rate(const tenant_account& account, const proxy_counts& proxies) const
     -> double {
-  const auto bound = this->bounds.most_runs(account.rate, account.burst);
+  const auto bound = this->bounds.max_runs(account.rate, account.burst);
   const auto all = std::max<double>(1, proxies.reporting + proxies.silent);
   const auto reporting_share = proxies.reporting / all;
   const auto room =
@@ -174,7 +173,7 @@
   return std::clamp(room, 0.0, account.rate);
 }
 
-auto quota_ledger::fraction(tenant_account& account, const fleet& proxies, TimePoint now)
+auto quota_ledger::fraction(tenant_account& account, const proxy_counts& proxies, TimePoint now)
     -> double {
   fill(account, now);
   const auto arriving = account.arrivals.per_second(now);
--- a/core/tenants/quota_ledger.h
+++ b/core/tenants/quota_ledger.h
@@ -1,12 +1,13 @@
-// Decides which fraction of each tenant's requests the proxies may admit.
+// Computes the fraction of each tenant's requests that the proxies may admit.
 //
-// Input: the proxies' reports, with the time of their arrival, and the limits in force. Output: for
-// each tenant near its limit a fraction in thousandths. Owns a token bucket and an arrival rate for
-// each tenant and the last totals of each proxy, in memory of the coordinators' leader only: a new
-// leader begins with empty buckets, which never admits more than the limit. Pure, not thread safe.
+// Input: the proxies' reports with their times of arrival, and the limits in force. Output: a
+// fraction in thousandths for each tenant near its limit. Owns a token bucket and an arrival rate
+// for each tenant and the last totals of each proxy. These exist only in memory of the
+// coordinators' leader: a new leader starts with empty buckets, so it never admits more than the
+// limit. No I/O; not thread safe.
 //
-// A tenant's bucket is filled at its rate up to its burst and pays for what ran. The fraction
-// follows from the level of the bucket and from what arrives.
+// A tenant's bucket is refilled at the tenant's rate up to its burst, and each request that ran
+// takes one token. The fraction follows from the level of the bucket and the arrival rate.
 #pragma once
 
 #include <array>
@@ -27,18 +28,18 @@
  public:
   explicit quota_ledger(QuotaBounds bounds) : bounds(bounds) {}
 
-  /// The limits in force; tenants without one are not counted.
+  /// Sets the limits in force. Tenants without a limit are not counted.
   void set_limits(const std::vector<TenantDefinition>& tenants, TimePoint now);
-  /// Forgets all reports: another coordinator was the leader meanwhile.
+  /// Discards all reports, since another coordinator may have been the leader in the meantime.
   void restart(TimePoint now);
   void on_report(const quota_report& report, TimePoint now);
 
-  /// The fractions at present; nothing until the proxies had time to report since the last
-  /// restart().
+  /// Returns the current fractions, or std::nullopt until the proxies had time to report since the
+  /// last restart().
   [[nodiscard]] auto answer(TimePoint now) -> std::optional<quota_answer>;
 
  private:
-  // Requests over the last second, by the time of their report.
+  // Requests that were reported within the last second.
   class arrival_rate {
    public:
     void add(double requests, TimePoint now);
@@ -46,14 +47,14 @@
 
    private:
     static constexpr std::size_t slot_count = 10;
-    void forget(std::int64_t current);
+    void drop_expired_slots(std::int64_t current);
     std::array<double, slot_count> slots{};
     std::int64_t latest = 0;
   };
   struct tenant_account {
     double rate = 0;   // tokens per second, one token a request
     double burst = 0;  // tokens that the bucket holds
-    double level = 0;  // tokens; below 0 when more ran than the bucket held
+    double level = 0;  // tokens; negative if more requests ran than the bucket held
     TimePoint filled{0};
     arrival_rate arrivals;
   };
@@ -63,17 +64,17 @@
     TimePoint last_report{0};
     std::map<std::string, tenant_use> uses;  // as last reported
   };
-  struct fleet {
+  struct proxy_counts {
     std::uint32_t reporting = 0;
     std::uint32_t silent = 0;
   };
 
   static void fill(tenant_account& account, TimePoint now);
   void count_use(proxy_account& proxy, const tenant_use& use, TimePoint now);
-  [[nodiscard]] auto count_proxies(TimePoint now) -> fleet;
-  [[nodiscard]] auto usable_rate(const tenant_account& account, const fleet& proxies) const
+  [[nodiscard]] auto count_proxies(TimePoint now) -> proxy_counts;
+  [[nodiscard]] auto usable_rate(const tenant_account& account, const proxy_counts& proxies) const
       -> double;
-  [[nodiscard]] auto fraction(tenant_account& account, const fleet& proxies, TimePoint now)
+  [[nodiscard]] auto fraction(tenant_account& account, const proxy_counts& proxies, TimePoint now)
       -> double;
 
   QuotaBounds bounds;
--- a/core/tenants/quota_limiter.cc
+++ b/core/tenants/quota_limiter.cc
@@ -8,31 +8,30 @@
 namespace ramppond {
 namespace {
 
-// The proxy follows the leader's last answer for this time, from the report that
-// it answers. Reports are sent every 250 ms. Shorter, one lost answer is enough
-// to fall back to equal parts, which refuse requests below the limit; longer, a
-// fraction that is out of date lets too much through.
+// The leader's last answer is used for this time, counted from when the answered report was sent.
+// Reports are sent every 250 ms. If it were shorter, a single lost answer would make the proxy fall
+// back to equal shares, which refuse requests below the limit; if longer, an outdated fraction
+// would admit too many requests.
 constexpr auto answer_valid = milliseconds(500);
 constexpr std::int64_t slots_per_window = 10;
-// Of the bound: what all proxies without recent answers give out together. The
-// rest is for requests that ran earlier in the same window. Higher, the bound is
-// exceeded; lower, requests below the limit are refused.
-constexpr double equal_parts_share = 0.8;
-// A tenant that sends this many times its equal part of the rate within a report
-// interval is reported at once. Lower, ordinary traffic causes extra reports;
-// higher, a surge runs on for another interval.
+// Share of the bound that all proxies without recent answers admit together. The rest covers
+// requests that ran earlier in the same window. A higher share exceeds the bound; a lower one
+// refuses requests below the limit.
+constexpr double equal_shares_of_bound = 0.8;
+// A tenant that sends this many times its equal share of the rate within a report interval is
+// reported immediately. A lower factor sends extra reports for ordinary traffic; a higher one lets
+// a surge continue for another interval.
 constexpr double surge_factor = 2;
 constexpr double report_interval_s = 0.25;
-// Fewer unreported requests are no surge, whatever the part.
+// Minimum number of unreported requests that count as a surge, however small the share is.
 constexpr double min_surge_requests = 4;
 constexpr double thousandths = 1000;
-// Bounds of the time after which a refused client is asked to retry; the upper
-// one is the window of the bound.
+// Minimum time after which a refused client is asked to retry; the maximum is the window of the
+// bound.
 constexpr auto min_retry_after = milliseconds(500);
 constexpr double min_fraction = 0.02;
 
-// Time that the requests beyond the limit within a second take at the tenant's
-// rate.
+// Time that the excess requests of one second would take at the tenant's rate.
 auto excess_time(double fraction) -> Duration {
   const auto admitted = std::max(fraction, min_fraction);
   const auto seconds_behind = (1 - admitted) / admitted;
@@ -46,7 +45,7 @@
 
 }  // namespace
 
-void quota_limiter::recent_runs::forget(TimePoint now, Duration window) {
+void quota_limiter::recent_runs::drop_expired_slots(TimePoint now, Duration window) {
   const auto current = slot_number(now, window);
   while (!this->slots.empty() && this->slots.front().number < current - slots_per_window) {
     this->slots.pop_front();
@@ -54,7 +53,7 @@
 }
 
 void quota_limiter::recent_runs::add(double requests, TimePoint now, Duration window) {
-  this->forget(now, window);
+  this->drop_expired_slots(now, window);
   const auto current = slot_number(now, window);
   if (this->slots.empty() || this->slots.back().number != current) {
     this->slots.push_back({current, 0});
@@ -63,7 +62,7 @@
 }
 
 auto quota_limiter::recent_runs::count(TimePoint now, Duration window) -> double {
-  this->forget(now, window);
+  this->drop_expired_slots(now, window);
   auto sum = 0.0;
   for (const auto& s : this->slots) {
     sum += s.requests;
@@ -71,7 +70,8 @@
   return sum;
 }
 
-auto quota_limiter::recent_runs::oldest_ends(TimePoint now, Duration window) const -> Duration {
+auto quota_limiter::recent_runs::time_until_oldest_expires(TimePoint now, Duration window) const
+    -> Duration {
   if (this->slots.empty()) {
     return window;
   }
@@ -80,22 +80,23 @@
 }
 
 void quota_limiter::set_limits(const std::vector<TenantDefinition>& limits) {
-  // Totals never decrease while the process runs: a tenant that is removed and
-  // added again goes on with its own.
+  // Totals never decrease while the process runs: a tenant that is removed and added again keeps
+  // its totals.
   for (auto& [name, account] : this->tenants) {
     account.rate = 0;
   }
   for (const auto& tenant : limits) {
     const auto [position, first] = this->tenants.try_emplace(tenant.name);
     auto& account = position->second;
-    account.carried = first ? this->random.uniform() : account.carried;
+    account.carry = first ? this->random.uniform() : account.carry;
     account.rate = static_cast<double>(tenant.rate_millis) / thousandths;
     account.burst = static_cast<double>(tenant.burst);
   }
 }
 
 auto quota_limiter::has_recent_answer(TimePoint now) const -> bool {
-  return this->answer_asked && now - *this->answer_asked < Duration(answer_valid);
+  return this->answered_report_sent_at &&
+         now - *this->answered_report_sent_at < Duration(answer_valid);
 }
 
 auto quota_limiter::proxy_count() const -> double {
@@ -109,33 +110,34 @@
   return account.fraction >= 1 && unreported >= std::max(min_surge_requests, part * surge_factor);
 }
 
-// In whole requests. Where the part is below one, a draw by tenant and proxy
-// gives some proxies one and the others none, so that their sum is right.
-auto quota_limiter::equal_part(const std::string& tenant, const tenant_account& account) const
+// Whole number of requests. The fractional part is rounded up or down by a hash of tenant and
+// proxy, so that the shares of all proxies add up to the right sum, also where they are below one.
+auto quota_limiter::equal_share(const std::string& tenant, const tenant_account& account) const
     -> double {
-  const auto bound = this->bounds.most_runs(account.rate, account.burst);
-  const auto part = bound * equal_parts_share / this->proxy_count();
+  const auto bound = this->bounds.max_runs(account.rate, account.burst);
+  const auto part = bound * equal_shares_of_bound / this->proxy_count();
   const auto whole = std::floor(part);
   constexpr std::uint64_t steps = 4096;
-  const auto drawn = XXH3_64bits_withSeed(tenant.data(), tenant.size(), this->drawing_seed) % steps;
+  const auto drawn =
+      XXH3_64bits_withSeed(tenant.data(), tenant.size(), this->rounding_seed) % steps;
   return whole + (static_cast<double>(drawn) < (part - whole) * steps ? 1 : 0);
 }
 
-// Carries the rest of the fraction from one request to the next, so that the
-// admitted requests are spread evenly.
+// Carries the remainder of the fraction from one request to the next, which spreads the admitted
+// requests evenly.
 auto quota_limiter::spend_fraction(tenant_account& account) -> bool {
   if (account.fraction >= 1) {
     return true;
   }
-  account.carried += account.fraction;
-  if (account.carried < 1) {
+  account.carry += account.fraction;
+  if (account.carry < 1) {
     return false;
   }
-  account.carried -= 1;
+  account.carry -= 1;
   return true;
 }
 
-auto quota_limiter::ask(const std::string& tenant, TimePoint now) -> quota_verdict {
+auto quota_limiter::ask(const std::string& tenant, TimePoint now) -> quota_decision {
   const auto found = this->tenants.find(tenant);
   if (found == this->tenants.end() || found->second.rate == 0) {
     return {};
@@ -149,8 +151,8 @@
     const auto retry_after = excess_time(account.fraction);
     return {false, alone, std::clamp<Duration>(retry_after, min_retry_after, window)};
   }
-  if (alone && account.recent.count(now, window) >= this->equal_part(tenant, account)) {
-    const auto retry_after = account.recent.oldest_ends(now, window);
+  if (alone && account.recent.count(now, window) >= this->equal_share(tenant, account)) {
+    const auto retry_after = account.recent.time_until_oldest_expires(now, window);
     return {false, alone, std::clamp<Duration>(retry_after, min_retry_after, window)};
   }
   account.run += 1;
@@ -199,12 +201,13 @@
   }
 }
 
-void quota_limiter::on_answer(std::uint64_t sequence, const quota_answer& latest, TimePoint asked) {
+void quota_limiter::on_answer(std::uint64_t sequence, const quota_answer& latest,
+                              TimePoint asked_at) {
   if (this->last_report && this->last_report->sequence == sequence) {
     this->confirm(this->last_report->uses);
   }
-  // Answers to earlier reports are out of date once a later report was answered.
-  if (this->answer_asked && asked < *this->answer_asked) {
+  // An answer to a later report has already arrived.
+  if (this->answered_report_sent_at && asked_at < *this->answered_report_sent_at) {
     return;
   }
   for (auto& [name, account] : this->tenants) {
@@ -217,7 +220,7 @@
     }
   }
   this->reporting_proxies = latest.proxies;
-  this->answer_asked = asked;
+  this->answered_report_sent_at = asked_at;
 }
 
 }  // namespace ramppond
--- a/core/tenants/quota_messages.h
+++ b/core/tenants/quota_messages.h
@@ -1,8 +1,8 @@
-// What proxies report to the leader of the coordinators about tenants' requests, and its answer.
+// Messages by which proxies report tenants' requests to the coordinators' leader, and its answer.
 //
-// Reports hold totals since the proxy's start, so a report that is lost, doubled or late changes
-// nothing. They also hold the totals that a leader has confirmed, so a new leader doesn't count
-// those requests again.
+// Reports carry totals since the start of the proxy, so that lost, duplicated and late reports do
+// no harm. They also carry the totals that a leader has confirmed, so that a new leader does not
+// count those requests again.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +13,8 @@
 
 struct tenant_use {
   std::string tenant;
-  std::uint64_t arrived = 0;  // requests, refused ones included
-  std::uint64_t run = 0;      // requests admitted, less those that provably did not run
+  std::uint64_t arrived = 0;  // requests, including refused ones
+  std::uint64_t run = 0;      // admitted requests, without those that provably did not run
   std::uint64_t arrived_confirmed = 0;
   std::uint64_t run_confirmed = 0;
 
@@ -29,9 +29,9 @@
 };
 
 struct quota_report {
-  std::string proxy_address;      // HOST:PORT where the proxy takes requests of its peers
+  std::string proxy_address;      // HOST:PORT where the proxy accepts requests of its peers
   std::uint64_t incarnation = 0;  // of the proxy's process
-  std::uint64_t sequence = 0;     // rises with each report
+  std::uint64_t sequence = 0;     // increases with each report
   std::vector<tenant_use> uses;
 
   template <class Visitor>
@@ -45,7 +45,7 @@
 
 struct tenant_fraction {
   std::string tenant;
-  std::uint32_t permille = 1000;  // of its requests that may be admitted
+  std::uint32_t permille = 1000;  // of the tenant's requests that may be admitted
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -56,8 +56,8 @@
 
 /// The leader's answer to a report.
 struct quota_answer {
-  std::uint32_t proxies = 0;             // proxies that report or did lately
-  std::vector<tenant_fraction> limited;  // requests of all other tenants may be admitted
+  std::uint32_t proxies = 0;             // proxies that have reported recently
+  std::vector<tenant_fraction> limited;  // tenants not listed are not limited
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
--- a/core/tenants/tenant_rank.h
+++ b/core/tenants/tenant_rank.h
@@ -1,9 +1,9 @@
-// Decides the rank of a request among all that want the same servers.
+// Computes the rank of a request among the requests that compete for the same servers.
 //
-// Input: the request's tenant and the priority of its route. Output: a rank, 0 the most urgent; the
-// tenant's priority counts before the route's. A request without a tenant, such as a call of a
-// server, ranks as if its tenant had the priority that most tenants have. Owns the priorities in
-// use. Pure; any thread may read.
+// Input: the tenant of the request and the priority of its route. Output: a rank, 0 being the most
+// urgent. Ranks compare by tenant priority first and route priority second. A request without a
+// tenant, such as a call made by a server, gets the most common tenant priority. Owns the set of
+// priorities in use. Immutable; safe to read from any thread.
 #pragma once
 
 #include <algorithm>
@@ -30,13 +30,13 @@
     }
   }
 
-  /// 0 is the most urgent. `tenant` may be nullptr.
+  /// Returns the rank of a request; 0 is the most urgent. `tenant` may be nullptr.
   [[nodiscard]] auto of(const TenantDefinition* tenant, std::uint32_t route_priority) const
       -> std::uint32_t {
     return combine(tenant == nullptr ? this->most_common : tenant->priority, route_priority);
   }
 
-  /// The ranks that requests to a route of this priority may have.
+  /// Returns all ranks that requests to a route of this priority can have.
   [[nodiscard]] auto all(std::uint32_t route_priority) const -> std::vector<std::uint32_t> {
     auto ranks = std::vector<std::uint32_t>();
     for (const auto priority : this->priorities) {
@@ -46,7 +46,7 @@
   }
 
  private:
-  // Larger priorities count as the largest.
+  // Larger priorities are treated as priority_count - 1.
   static constexpr std::uint32_t priority_count = 1000;
 
   static auto combine(std::uint32_t tenant, std::uint32_t route) -> std::uint32_t {
@@ -55,7 +55,7 @@
   }
 
   std::set<std::uint32_t> priorities;
-  std::uint32_t most_common = 0;  // priority of tenants
+  std::uint32_t most_common = 0;  // tenant priority
 };
 
 }  // namespace ramppond
--- a/tests/core/tenants/authority_lease_test.cc
+++ b/tests/core/tenants/authority_lease_test.cc
@@ -5,17 +5,17 @@
 namespace ramppond {
 namespace {
 
-TEST(authority_lease, begins_at_the_question_and_lapses_a_length_later) {
+TEST(authority_lease, starts_when_the_proxy_asked_and_expires_after_its_length) {
   auto lease = authority_lease(seconds(5));
-  EXPECT_EQ(lease.at(seconds(0)), authority::lapsed);
+  EXPECT_EQ(lease.at(seconds(0)), authority::expired);
   lease.on_confirmed(seconds(10));
   EXPECT_EQ(lease.at(seconds(10)), authority::fresh);
   EXPECT_EQ(lease.at(seconds(12)), authority::stale);
   EXPECT_EQ(lease.at(seconds(15) - microseconds(1)), authority::stale);
-  EXPECT_EQ(lease.at(seconds(15)), authority::lapsed);
+  EXPECT_EQ(lease.at(seconds(15)), authority::expired);
 }
 
-TEST(authority_lease, an_answer_to_an_older_question_takes_nothing_back) {
+TEST(authority_lease, answer_to_an_older_request_does_not_shorten_the_lease) {
   auto lease = authority_lease(seconds(5));
   lease.on_confirmed(seconds(10));
   lease.on_confirmed(seconds(8));
--- a/tests/core/tenants/identity_test.cc
+++ b/tests/core/tenants/identity_test.cc
@@ -1,4 +1,4 @@
-// Who a request is taken for: keys, public routes, and what is said when keys cannot be judged.
+// Authentication of requests by key, on public routes, and while keys cannot be verified.
 #include "core/tenants/identity.h"
 
 #include <gtest/gtest.h>
@@ -20,14 +20,14 @@
   return {council, grazier};
 }
 
-enum class expected { anonymous, council, refused, unjudged };
+enum class expected { anonymous, council, refused, unverifiable };
 
 struct identity_row {
   const char* name;
   CredentialForm form;
   const char* key;
   bool is_public;
-  authority held;
+  authority lease_state;
   expected result;
 };
 
@@ -37,18 +37,18 @@
 
 class identity_test : public testing::TestWithParam<identity_row> {};
 
-TEST_P(identity_test, is_as_expected) {
+TEST_P(identity_test, returns_the_expected_identity) {
   const auto& row = GetParam();
   const auto defined = tenants();
   const auto keys = api_keys(defined);
   auto route = TrafficRoute();
   route.is_public = row.is_public;
-  const auto found = identify(route, keys, {row.form, row.key}, row.held);
+  const auto found = identify(route, keys, {row.form, row.key}, row.lease_state);
   switch (row.result) {
     case expected::refused:
       EXPECT_TRUE(std::holds_alternative<key_refused>(found));
       return;
-    case expected::unjudged:
+    case expected::unverifiable:
       EXPECT_TRUE(std::holds_alternative<key_unverifiable>(found));
       return;
     case expected::anonymous:
@@ -70,17 +70,20 @@
         identity_row{"known", key, "first", false, authority::fresh, expected::council},
         identity_row{"second_key", key, "second", false, authority::fresh, expected::council},
         identity_row{"known_stale", key, "first", false, authority::stale, expected::council},
-        identity_row{"known_lapsed", key, "first", false, authority::lapsed, expected::unjudged},
+        identity_row{"known_expired", key, "first", false, authority::expired,
+                     expected::unverifiable},
         identity_row{"unknown", key, "fourth", false, authority::fresh, expected::refused},
-        identity_row{"unknown_stale", key, "fourth", false, authority::stale, expected::unjudged},
-        identity_row{"unknown_lapsed", key, "fourth", false, authority::lapsed, expected::unjudged},
+        identity_row{"unknown_stale", key, "fourth", false, authority::stale,
+                     expected::unverifiable},
+        identity_row{"unknown_expired", key, "fourth", false, authority::expired,
+                     expected::unverifiable},
         identity_row{"part_of_a_key", key, "firs", false, authority::fresh, expected::refused},
         identity_row{"other_case", key, "First", false, authority::fresh, expected::refused},
         identity_row{"no_key", none, "", false, authority::fresh, expected::refused},
-        identity_row{"no_key_lapsed", none, "", false, authority::lapsed, expected::unjudged},
+        identity_row{"no_key_expired", none, "", false, authority::expired, expected::unverifiable},
         identity_row{"malformed", malformed, "", false, authority::fresh, expected::refused},
         identity_row{"public_no_key", none, "", true, authority::fresh, expected::anonymous},
-        identity_row{"public_lapsed", key, "first", true, authority::lapsed, expected::anonymous},
+        identity_row{"public_expired", key, "first", true, authority::expired, expected::anonymous},
         identity_row{"public_known", key, "first", true, authority::fresh, expected::council},
         identity_row{"public_unknown", key, "fourth", true, authority::fresh, expected::anonymous}),
     [](const auto& info) { return std::string(info.param.name); });
--- a/tests/core/tenants/quota_test.cc
+++ b/tests/core/tenants/quota_test.cc
@@ -1,5 +1,5 @@
-// Daemons and the leader that keep a tenant's limit together: alone, cut off, restarted, with
-// reports that are lost, doubled and late, and under a new leader.
+// Daemons and the leader together keep a tenant's limit: with all connected, with some or all
+// disconnected, after restarts, with lost, duplicated and late reports, and after a leader change.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -23,12 +23,12 @@
   return {tenant};
 }
 
-/// Some daemons and one leader at a time, in virtual time.
+/// Simulates several daemons and one leader at a time in virtual time.
 class quota_fleet {
  public:
   quota_fleet(std::size_t daemons, std::uint64_t rate, std::uint64_t burst, std::uint64_t seed)
       : random(seed), limits(limit(rate, burst)) {
-    this->lead_anew();
+    this->replace_leader();
     for (std::size_t i = 0; i < daemons; ++i) {
       this->daemons.emplace_back();
       this->restart(i);
@@ -38,14 +38,14 @@
 
   void restart(std::size_t i) {
     auto& d = this->daemons.at(i);
-    d.gate = std::make_unique<quota_limiter>(bounds, this->random.next());
-    d.gate->set_known_proxies(this->daemons.size());
+    d.limiter = std::make_unique<quota_limiter>(bounds, this->random.next());
+    d.limiter->set_known_proxies(this->daemons.size());
     d.configured = false;
     d.incarnation += 1;
     d.next_report = this->now + d.phase;
   }
   void cut(std::size_t i, bool off) { this->daemons.at(i).cut = off; }
-  void lead_anew() {
+  void replace_leader() {
     this->ledger = std::make_unique<quota_ledger>(bounds);
     this->ledger->set_limits(this->limits, this->now);
     this->ledger->restart(this->now);
@@ -54,27 +54,27 @@
     this->limits = limit(rate, burst);
     this->ledger->set_limits(this->limits, this->now);
     for (auto& d : this->daemons) {
-      d.gate->set_limits(this->limits);
+      d.limiter->set_limits(this->limits);
     }
   }
 
-  /// Lets `per_second` requests a second arrive for `time`, each at a daemon drawn by lot.
+  /// Simulates `time` with `per_second` requests per second, each at a random daemon.
   void run(Duration time, double per_second) {
     constexpr auto step = milliseconds(10);
     for (const auto end = this->now + time; this->now < end; this->now += step) {
       this->due += per_second * 0.01;
       for (; this->due >= 1; this->due -= 1) {
         auto& d = this->daemons.at(this->random.below(this->daemons.size()));
-        const auto admitted = d.configured && d.gate->ask(tenant_name, this->now).admitted;
-        d.next_report = d.configured && d.gate->has_surge() ? this->now : d.next_report;
+        const auto admitted = d.configured && d.limiter->ask(tenant_name, this->now).admitted;
+        d.next_report = d.configured && d.limiter->has_surge() ? this->now : d.next_report;
         admitted ? this->runs.push_back(this->now) : this->refusals.push_back(this->now);
       }
       this->report();
     }
   }
 
-  /// Most requests that ran within one window.
-  [[nodiscard]] auto most_in_window() const -> std::size_t {
+  /// Maximum number of requests that ran within one window.
+  [[nodiscard]] auto max_in_window() const -> std::size_t {
     auto most = std::size_t(0);
     auto first = this->runs.begin();
     for (auto it = this->runs.begin(); it != this->runs.end(); ++it) {
@@ -90,20 +90,20 @@
                                                   [&](auto run) { return run >= moment; }));
   }
 
-  double lost = 0;     // share of the messages
-  double doubled = 0;  // likewise
+  double lost = 0;        // share of the messages
+  double duplicated = 0;  // share of the reports
   TimePoint now{0};
   std::vector<TimePoint> runs;
   std::vector<TimePoint> refusals;
 
  private:
   struct daemon {
-    std::unique_ptr<quota_limiter> gate;
+    std::unique_ptr<quota_limiter> limiter;
     std::uint64_t incarnation = 0;
     Duration phase{0};
     TimePoint next_report{0};
     bool cut = false;
-    bool configured = false;  // a daemon that has just started waits for its configuration
+    bool configured = false;  // false after a start, until the configuration arrives
   };
 
   void report() {
@@ -114,22 +114,22 @@
       }
       d.next_report = this->now + milliseconds(250);
       if (!d.configured && !d.cut) {
-        d.gate->set_limits(this->limits);
+        d.limiter->set_limits(this->limits);
         d.configured = true;
       }
-      auto report = d.gate->report();
+      auto report = d.limiter->report();
       if (!report || d.cut || this->random.chance(this->lost)) {
         continue;
       }
       report->proxy_address = std::to_string(i);
       report->incarnation = d.incarnation;
       this->ledger->on_report(*report, this->now);
-      if (this->random.chance(this->doubled)) {
+      if (this->random.chance(this->duplicated)) {
         this->ledger->on_report(*report, this->now);
       }
       const auto latest = this->ledger->answer(this->now);
       if (latest && !this->random.chance(this->lost)) {
-        d.gate->on_answer(report->sequence, *latest, this->now);
+        d.limiter->on_answer(report->sequence, *latest, this->now);
       }
     }
   }
@@ -161,52 +161,53 @@
   double rate = static_cast<double>(GetParam().rate);
 };
 
-TEST_P(quota_of_size, nobody_below_the_limit_is_refused) {
+TEST_P(quota_of_size, below_the_limit_at_most_one_percent_is_refused) {
   fleet.run(seconds(2), 0);
   fleet.run(seconds(20), 0.6 * rate);
   EXPECT_LE(fleet.refusals.size(), fleet.runs.size() / 100);
 }
 
-// 0.9 of what the rate allows, at least: what is refused below the limit is service that is lost.
-TEST_P(quota_of_size, a_tenant_beyond_its_limit_has_its_rate) {
+// Requests refused below the limit are lost service, so at least 90 % of what the rate allows is
+// admitted.
+TEST_P(quota_of_size, above_the_limit_the_rate_is_admitted) {
   fleet.run(seconds(2), 0.6 * rate);
   fleet.run(seconds(20), 1.3 * rate);
   EXPECT_GE(fleet.runs_since(seconds(2)), static_cast<std::size_t>(0.9 * 20 * rate));
-  EXPECT_LE(fleet.most_in_window(), bound(rate, rate));
+  EXPECT_LE(fleet.max_in_window(), bound(rate, rate));
 }
 
-TEST_P(quota_of_size, a_tenant_that_begins_to_send_many_times_its_limit_keeps_the_bound) {
+TEST_P(quota_of_size, sudden_surge_stays_within_the_bound) {
   fleet.run(seconds(5), 0.6 * rate);
   fleet.run(seconds(10), 4.7 * rate);
-  EXPECT_LE(fleet.most_in_window(), bound(rate, rate));
+  EXPECT_LE(fleet.max_in_window(), bound(rate, rate));
   EXPECT_GE(fleet.runs_since(seconds(5)), static_cast<std::size_t>(0.9 * 10 * rate));
 }
 
-TEST_P(quota_of_size, daemons_that_are_cut_off_keep_the_bound) {
+TEST_P(quota_of_size, some_daemons_disconnected_stays_within_the_bound) {
   fleet.run(seconds(5), 0.6 * rate);
   for (std::size_t i = 0; i < GetParam().daemons; i += 6) {
     fleet.cut(i, true);
   }
   fleet.run(seconds(10), 4.7 * rate);
-  EXPECT_LE(fleet.most_in_window(), bound(rate, rate));
+  EXPECT_LE(fleet.max_in_window(), bound(rate, rate));
 }
 
-TEST_P(quota_of_size, all_daemons_alone_keep_the_bound) {
+TEST_P(quota_of_size, all_daemons_disconnected_stays_within_the_bound) {
   fleet.run(seconds(5), 0.6 * rate);
   for (std::size_t i = 0; i < GetParam().daemons; ++i) {
     fleet.cut(i, true);
   }
   fleet.run(seconds(2), 0.6 * rate);
   fleet.run(seconds(10), 4.7 * rate);
-  EXPECT_LE(fleet.most_in_window(), bound(rate, rate));
+  EXPECT_LE(fleet.max_in_window(), bound(rate, rate));
 }
 
-TEST_P(quota_of_size, a_new_leader_keeps_the_bound) {
+TEST_P(quota_of_size, leader_change_stays_within_the_bound) {
   fleet.run(seconds(5), 0.6 * rate);
   fleet.run(seconds(6), 4.7 * rate);
-  fleet.lead_anew();
+  fleet.replace_leader();
   fleet.run(seconds(6), 4.7 * rate);
-  EXPECT_LE(fleet.most_in_window(), bound(rate, rate));
+  EXPECT_LE(fleet.max_in_window(), bound(rate, rate));
 }
 
 INSTANTIATE_TEST_SUITE_P(rows, quota_of_size,
@@ -215,65 +216,65 @@
                                          limit_row{"few_daemons", 12, 60}),
                          [](const auto& info) { return std::string(info.param.name); });
 
-TEST(quota, a_limit_that_is_lowered_holds_a_window_later) {
+TEST(quota, lowered_limit_holds_after_one_window) {
   auto fleet = quota_fleet(40, 100, 100, 3);
   fleet.run(seconds(5), 60);
   fleet.set_limit(20, 20);
   fleet.run(seconds(5), 60);
   fleet.runs.clear();
   fleet.run(seconds(10), 60);
-  EXPECT_LE(fleet.most_in_window(), bound(20, 20));
+  EXPECT_LE(fleet.max_in_window(), bound(20, 20));
 }
 
-TEST(quota, a_request_that_did_not_run_is_given_back) {
-  auto gate = quota_limiter(bounds, 1);
-  gate.set_limits(limit(1, 1));
-  gate.set_known_proxies(1);
+TEST(quota, request_that_did_not_run_is_refunded) {
+  auto limiter = quota_limiter(bounds, 1);
+  limiter.set_limits(limit(1, 1));
+  limiter.set_known_proxies(1);
   for (int i = 0; i < 100; ++i) {
-    EXPECT_TRUE(gate.ask(tenant_name, seconds(1)).admitted) << i;
-    gate.on_not_run(tenant_name, seconds(1));
+    EXPECT_TRUE(limiter.ask(tenant_name, seconds(1)).admitted) << i;
+    limiter.on_not_run(tenant_name, seconds(1));
   }
 }
 
-// A leader whose answers take longer than a report's interval is still heard.
-TEST(quota, an_answer_that_comes_after_the_next_report_counts) {
-  auto gate = quota_limiter(bounds, 1);
-  gate.set_limits(limit(1, 1));
-  gate.set_known_proxies(1000);
-  const auto first = gate.report();
-  const auto second = gate.report();
+// Guards against ignoring a leader whose answers take longer than the report interval.
+TEST(quota, late_answer_to_an_earlier_report_is_used) {
+  auto limiter = quota_limiter(bounds, 1);
+  limiter.set_limits(limit(1, 1));
+  limiter.set_known_proxies(1000);
+  const auto first = limiter.report();
+  const auto second = limiter.report();
   ASSERT_TRUE(first && second);
-  gate.on_answer(first->sequence, {1000, {}}, seconds(1));
-  EXPECT_FALSE(gate.ask(tenant_name, seconds(1)).alone);
-  auto nothing = quota_answer();
-  nothing.limited = {{tenant_name, 0}};
-  gate.on_answer(second->sequence, nothing, seconds(1) + milliseconds(100));
-  gate.on_answer(first->sequence, {1000, {}}, seconds(1));
-  EXPECT_FALSE(gate.ask(tenant_name, seconds(1) + milliseconds(100)).admitted);
+  limiter.on_answer(first->sequence, {1000, {}}, seconds(1));
+  EXPECT_FALSE(limiter.ask(tenant_name, seconds(1)).alone);
+  auto deny_all = quota_answer();
+  deny_all.limited = {{tenant_name, 0}};
+  limiter.on_answer(second->sequence, deny_all, seconds(1) + milliseconds(100));
+  limiter.on_answer(first->sequence, {1000, {}}, seconds(1));
+  EXPECT_FALSE(limiter.ask(tenant_name, seconds(1) + milliseconds(100)).admitted);
 }
 
-TEST(quota, who_is_refused_is_told_when_to_come_back) {
-  auto gate = quota_limiter(bounds, 1);
-  gate.set_limits(limit(1, 1));
-  gate.set_known_proxies(1);
-  auto verdict = quota_verdict();
-  for (int i = 0; i < 100 && verdict.admitted; ++i) {
-    verdict = gate.ask(tenant_name, seconds(1));
+TEST(quota, refusal_gives_a_valid_retry_time) {
+  auto limiter = quota_limiter(bounds, 1);
+  limiter.set_limits(limit(1, 1));
+  limiter.set_known_proxies(1);
+  auto decision = quota_decision();
+  for (int i = 0; i < 100 && decision.admitted; ++i) {
+    decision = limiter.ask(tenant_name, seconds(1));
   }
-  ASSERT_FALSE(verdict.admitted);
-  EXPECT_GE(verdict.retry_after, milliseconds(500));
-  EXPECT_LE(verdict.retry_after, bounds.window);
-  EXPECT_TRUE(gate.ask(tenant_name, seconds(1) + verdict.retry_after + seconds(1)).admitted);
+  ASSERT_FALSE(decision.admitted);
+  EXPECT_GE(decision.retry_after, milliseconds(500));
+  EXPECT_LE(decision.retry_after, bounds.window);
+  EXPECT_TRUE(limiter.ask(tenant_name, seconds(1) + decision.retry_after + seconds(1)).admitted);
 }
 
-// Whatever is lost, doubled, restarted, cut off or led anew.
-RC_GTEST_PROP(quota, never_more_runs_than_the_bound, ()) {
+// Under any mix of lost and duplicated messages, restarts, disconnections and leader changes.
+RC_GTEST_PROP(quota, runs_never_exceed_the_bound, ()) {
   const auto rate = *rc::gen::element(9, 30, 120);
   auto fleet = quota_fleet(*rc::gen::inRange<std::size_t>(10, 90), static_cast<std::uint64_t>(rate),
                            static_cast<std::uint64_t>(rate), *rc::gen::arbitrary<std::uint64_t>());
   const auto daemons = *rc::gen::inRange<std::size_t>(0, 9);
   fleet.lost = *rc::gen::element(0.0, 0.05);
-  fleet.doubled = *rc::gen::element(0.0, 0.3);
+  fleet.duplicated = *rc::gen::element(0.0, 0.3);
   fleet.run(seconds(3), 0.6 * rate);
   for (int event = 0; event < 4; ++event) {
     switch (*rc::gen::inRange(0, 4)) {
@@ -287,11 +288,11 @@
         fleet.cut(daemons, false);
         break;
       default:
-        fleet.lead_anew();
+        fleet.replace_leader();
     }
     fleet.run(seconds(2), *rc::gen::element(0.6, 1.3, 4.7) * rate);
   }
-  RC_ASSERT(fleet.most_in_window() <= bound(rate, rate));
+  RC_ASSERT(fleet.max_in_window() <= bound(rate, rate));
 }
 
 }  // namespace
