--- a/core/crash_evidence/crash_detector.cc
+++ b/core/crash_evidence/crash_detector.cc
@@ -5,19 +5,17 @@
 namespace ramppond {
 namespace {
 
-// Runs that were lost this long before the last one were lost in the same crash.
-// Shorter, and a proxy on a slow machine, which reads the ends of the connections
-// one after the other, misses some; longer, and requests are blamed whose
-// connections a living server had reset.
+// Runs that were lost up to this long before the last one belong to the same crash. If it were
+// shorter, a proxy on a slow machine, which reads the ends of the connections one after another,
+// would miss some; if longer, it would include requests whose connections a live server had reset.
 constexpr auto crash_window = milliseconds(200);
-// A server goes on with an abandoned request until it reads of that. Shorter, and
-// a harmful request with a short deadline is never named; longer, and innocent
-// ones are.
+// A server continues an abandoned request until it notices. If this were shorter, a harmful request
+// with a short deadline would never be identified; if longer, harmless ones would be included.
 constexpr auto abandoned_window = milliseconds(500);
-// Another instance may report itself from the address this long after the loss.
+// Time after a loss within which another instance may register from the address.
 constexpr auto loss_lifetime = seconds(30);
-// As many as a server may be at work on, and some that were abandoned.
-constexpr auto most_runs = std::size_t(1024);
+// Enough for the requests in flight at a server and some that were abandoned.
+constexpr auto max_runs = std::size_t(1024);
 
 void make_set(std::vector<request_digest>& digests) {
   std::sort(digests.begin(), digests.end());
@@ -27,7 +25,7 @@
 }  // namespace
 
 void crash_detector::add(const lost_run& lost) {
-  if (this->runs.size() >= most_runs) {
+  if (this->runs.size() >= max_runs) {
     this->runs.pop_front();
   }
   this->runs.push_back(lost);
--- a/core/crash_evidence/crash_detector.h
+++ b/core/crash_evidence/crash_detector.h
@@ -1,15 +1,13 @@
-// Detects the crash of the server beside this proxy, and which requests it was at
-// work on.
+// Detects crashes of the server beside this proxy and the requests that were in flight at them.
 //
-// Owns the runs at that server whose connection was lost, or that were abandoned,
-// in the last half minute. Relies on its caller to say when a connection is lost,
-// when the server answers, and when its address refuses connections or another
-// instance reports itself from there. A planned stop is no crash: the caller asks
-// on_alive() of it in place of on_gone(). Pure, not thread safe.
+// Owns the runs at that server that lost their connection or were abandoned within the last 30 s.
+// Relies on the caller to report when a connection is lost, when the server answers, and when its
+// address refuses connections or another instance registers from there. A planned stop is not a
+// crash: the caller calls on_alive() for it instead of on_gone(). No I/O; not thread safe.
 //
-// A lost connection alone proves nothing: servers that live reset connections and
-// break answers off. A crash ends all connections of the process at once, and the
-// address refuses new ones. Only the proxy on the server's machine sees all of it.
+// A lost connection alone is no proof of a crash, since live servers reset connections and abort
+// answers too. A crash ends all connections of the process at once, and the address refuses new
+// ones. Only the proxy on the server's machine can observe all of this.
 #pragma once
 
 #include <cstddef>
@@ -25,32 +23,32 @@
 
 struct crashed_server {
   std::string instance_id;
-  std::vector<request_digest> under_way;  // sorted, each once
-  std::vector<request_digest> isolated;   // likewise; see server_run
+  std::vector<request_digest> under_way;  // sorted, without duplicates
+  std::vector<request_digest> isolated;   // a sorted subset; see server_run
 };
 
 /// A run of a request at the server beside this proxy.
 struct server_run {
   std::string instance_id;
   request_digest digest;
-  bool isolated = false;  // begun as suspected, while no other suspected request ran there
+  bool isolated = false;  // started while suspected, with no other suspected request there
 };
 
 class crash_detector {
  public:
-  /// The connection ended before the answer did.
+  /// The connection ended before the answer was complete.
   void on_lost(const server_run& run, TimePoint now);
-  /// Nobody waits for the answer any more: its caller is gone or its deadline has
-  /// passed. The server may be at work on it a little longer.
+  /// The caller disconnected or the deadline expired. The server may continue the run for a short
+  /// time.
   void on_abandoned(const server_run& run, TimePoint now);
-  /// The server lived at `begun`, since it answered a request that began then or a
-  /// connection made then stands: no run lost up to that moment was lost in a crash.
+  /// The server was alive at `begun`: it answered a request that began then, or a connection opened
+  /// then is still up. Runs lost until that time were not lost in a crash.
   void on_alive(TimePoint begun);
-  /// `instance_id` is gone: its address refuses connections and none stands, or
-  /// another instance is there. Nothing if no request was lost with it.
+  /// The instance is gone: its address refuses connections and none is open, or another instance
+  /// has replaced it. Returns std::nullopt if no request was lost with it.
   auto on_gone(const std::string& instance_id, TimePoint now) -> std::optional<crashed_server>;
 
-  /// Whether runs were lost since the server was last known to live.
+  /// Whether runs were lost since the server was last known to be alive.
   [[nodiscard]] auto is_pending() const -> bool;
 
  private:
--- a/core/crash_evidence/crash_ledger.cc
+++ b/core/crash_evidence/crash_ledger.cc
@@ -6,16 +6,16 @@
 namespace ramppond {
 namespace {
 
-// Instances beside this proxy, one after the other. Fewer, and a server that keeps
-// crashing loses the records that name its harmful requests.
-constexpr auto most_own_records = std::size_t(16);
-// A record lists the successes of this time. Shorter, and a success is lost when the
-// next record replaces the one that listed it before it was sent.
+// Records of successive instances beside this proxy. With fewer, a server that keeps crashing would
+// lose the records that identify its harmful requests.
+constexpr auto max_own_records = std::size_t(16);
+// A record lists the successes of this time. If it were shorter, a success could be lost when the
+// next record replaces the one that lists it before that one was sent.
 constexpr auto success_reported_for = seconds(10);
 
 }  // namespace
 
-// First-hand before reported: a request that succeeded here of late is no danger here.
+// A recent success at the own server outweighs reports from other proxies.
 auto crash_ledger::judge(const request_digest& digest, TimePoint now) const -> suspicion_state {
   return this->successes.contains(digest, now) ? suspicion_state(unsuspected{})
                                                : this->attribution.suspicion_of(digest, now);
@@ -47,7 +47,7 @@
   report.under_way = crashed->under_way.size();
   report.candidates = this->without_successes(crashed->under_way, now);
   report.isolated = this->without_successes(crashed->isolated, now);
-  report.candidates.resize(std::min(report.candidates.size(), most_under_way));
+  report.candidates.resize(std::min(report.candidates.size(), max_under_way));
   auto& record = this->record_of(server);
   record.when = now;
   record.evidence.under_way = report.candidates;
@@ -67,16 +67,16 @@
 }
 
 auto crash_ledger::record_of(const server_instance& server) -> own_record& {
-  const auto found = this->own.find(server.id);
-  if (found != this->own.end()) {
+  const auto found = this->own_records.find(server.id);
+  if (found != this->own_records.end()) {
     return found->second;
   }
-  if (this->own_order.size() >= most_own_records) {
-    this->own.erase(this->own_order.front());
+  if (this->own_order.size() >= max_own_records) {
+    this->own_records.erase(this->own_order.front());
     this->own_order.pop_front();
   }
   this->own_order.push_back(server.id);
-  auto& record = this->own[server.id];
+  auto& record = this->own_records[server.id];
   record.evidence.instance_id = server.id;
   record.evidence.service = server.service;
   return record;
@@ -104,7 +104,7 @@
                                   TimePoint now) {
   this->cleared_for_all += 1;
   while (!this->reported_successes.empty() &&
-         (this->reported_successes.size() >= most_succeeded ||
+         (this->reported_successes.size() >= max_succeeded ||
           now - this->reported_successes.front().when >= success_reported_for)) {
     this->reported_successes.pop_front();
   }
@@ -119,10 +119,10 @@
   this->withdraw(digest, now);
 }
 
-// A proxy that starts later learns of a crash by its record, not of the success that cleared a
-// request since: the record itself must no longer list it.
+// A proxy that starts later receives the records of crashes but not the successes that have cleared
+// requests since, so cleared requests are removed from the records.
 void crash_ledger::withdraw(const request_digest& digest, TimePoint now) {
-  for (auto& [instance, record] : this->own) {
+  for (auto& [instance, record] : this->own_records) {
     auto& listed = record.evidence.under_way;
     const auto found = std::find(listed.begin(), listed.end(), digest);
     if (found == listed.end()) {
--- a/core/crash_evidence/crash_ledger.h
+++ b/core/crash_evidence/crash_ledger.h
@@ -1,12 +1,11 @@
-// What one proxy knows of requests that crash servers: first-hand from the server
-// beside it, and reported by the proxies beside other servers of the service.
+// What one proxy knows of requests that crash servers, observed at the server beside it and
+// reported by the proxies beside other servers of the service.
 //
-// Owns the crash records of the instances beside this proxy, which nobody else
-// writes, and the recent successes there. Relies on its caller to send what
-// take_unreported() gives to the control group, and to hand in what comes from
-// there by take(). Joins crash_detector (what was under way at a crash),
-// recent_successes (who is innocent of it) and crash_attribution (who is to
-// blame). Pure, not thread safe.
+// Combines crash_detector (requests in flight at a crash), recent_successes (requests that cannot
+// have caused it) and crash_attribution (the request that caused it). Owns the crash records of the
+// instances beside this proxy, which no other process writes, and the recent successes there.
+// Relies on the caller to send the result of take_unreported() to the control group and to pass
+// records received from there to take(). No I/O; not thread safe.
 #pragma once
 
 #include <deque>
@@ -28,44 +27,43 @@
   std::string service;
 };
 
-/// What was found at a crash of the server beside this proxy.
+/// The findings at a crash of the server beside this proxy.
 struct crash_report {
-  std::size_t under_way = 0;               // requests
-  std::vector<request_digest> candidates;  // without those that succeeded here of late
-  std::vector<request_digest> isolated;    // of the candidates; see server_run
+  std::size_t under_way = 0;               // number of requests in flight
+  std::vector<request_digest> candidates;  // without those that succeeded here recently
+  std::vector<request_digest> isolated;    // subset of the candidates; see server_run
 };
 
 class crash_ledger {
  public:
-  /// How a request may run at the server beside this proxy.
+  /// Returns how a request may run at the server beside this proxy.
   [[nodiscard]] auto judge(const request_digest& digest, TimePoint now) const -> suspicion_state;
 
-  /// Another proxy reports that a server was lost while it ran this request.
+  /// Another proxy reported that a server was lost while it ran this request.
   void on_reported_crash(const request_digest& digest, TimePoint now);
-  /// See crash_detector.
+  /// These forward to crash_detector.
   void on_lost(const server_run& run, TimePoint now);
   void on_abandoned(const server_run& run, TimePoint now);
   void on_alive(TimePoint begun);
   [[nodiscard]] auto is_pending() const -> bool { return this->detector.is_pending(); }
-  /// The server is gone without a planned stop. Nothing if no request was under way.
+  /// The server is gone without a planned stop. Returns std::nullopt if no request was in flight.
   auto on_server_gone(const server_instance& server, TimePoint now) -> std::optional<crash_report>;
-  /// The server beside this proxy answered a request, by a success or the client's
-  /// error.
+  /// The server beside this proxy answered a request with success or a client error.
   void on_success(const request_digest& digest, const server_instance& server, TimePoint now);
 
-  /// Takes records of proxies beside other servers of the service; `server` is the
-  /// own one.
+  /// Adds records written by proxies beside other servers of the service. `server` is the instance
+  /// beside this proxy.
   void take(const std::vector<instance_evidence>& records, const server_instance& server,
             TimePoint now);
 
-  /// Own records that are new or changed since the last call.
+  /// Returns the own records that are new or have changed since the last call.
   auto take_unreported() -> std::vector<instance_evidence>;
   auto take_blocks() -> std::vector<block_decision> { return this->attribution.take_blocks(); }
-  /// Blocks so far that a success showed to be wrong.
+  /// Number of blocks that a success showed to be wrong.
   [[nodiscard]] auto withdrawn_blocks() const -> std::uint64_t {
     return this->attribution.withdrawn_blocks();
   }
-  /// Requests so far that were cleared for all proxies by a success here.
+  /// Number of requests that a success here cleared for all proxies.
   [[nodiscard]] auto cleared() const -> std::uint64_t { return this->cleared_for_all; }
 
  private:
@@ -87,7 +85,7 @@
   crash_detector detector;
   recent_successes successes;
   crash_attribution attribution;
-  std::map<std::string, own_record> own;            // by instance
+  std::map<std::string, own_record> own_records;    // by instance
   std::deque<std::string> own_order;                // oldest first
   std::deque<reported_success> reported_successes;  // newest last
   std::vector<instance_evidence> unreported;
--- a/core/crash_evidence/evidence_log.cc
+++ b/core/crash_evidence/evidence_log.cc
@@ -5,9 +5,9 @@
 namespace ramppond {
 namespace {
 
-// Fewer, and a burst of crashes pushes out the records that a block rests on; at
-// 4 KB each at the most these make 1 MB of a snapshot. The newest are kept.
-constexpr auto most_kept = std::size_t(256);
+// With fewer, a burst of crashes would evict the records that a block is based on. At up to 4 KB
+// each they take 1 MB of a snapshot. The newest are kept.
+constexpr auto max_kept = std::size_t(256);
 
 auto age_at(const dated_evidence& dated, std::int64_t clock_ms) -> Duration {
   return std::max<Duration>(milliseconds(clock_ms - dated.when_ms), Duration(0));
@@ -37,7 +37,7 @@
     const auto is_old = age_at(entry->second, clock_ms) >= evidence_lifetime;
     entry = is_old ? this->by_instance.erase(entry) : std::next(entry);
   }
-  while (this->by_instance.size() > most_kept) {
+  while (this->by_instance.size() > max_kept) {
     this->by_instance.erase(std::min_element(
         this->by_instance.begin(), this->by_instance.end(),
         [](const auto& a, const auto& b) { return a.second.when_ms < b.second.when_ms; }));
--- a/core/crash_evidence/evidence_log.h
+++ b/core/crash_evidence/evidence_log.h
@@ -1,10 +1,9 @@
-// The crash records that the control group keeps in its replicated log, so that
-// blocks outlast a loss of power of all machines.
+// The crash records that the control group stores in its replicated log, so that blocks survive a
+// power loss of all machines.
 //
-// Part of ControlState: owns at most 256 records of the last half hour, and is
-// changed by log entries only. An entry carries the wall clock of the leader that
-// proposed it, in milliseconds; no other time counts, so all replicas are equal.
-// Not thread safe.
+// Part of ControlState. Owns at most 256 records of the last half hour and is changed only by log
+// entries. Each entry carries the wall clock of the leader that proposed it, in milliseconds. No
+// other clock is read, so all replicas are equal. Not thread safe.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +15,7 @@
 
 namespace ramppond {
 
-/// Records that a leader proposes together.
+/// The records of one proposal of a leader.
 struct evidence_batch {
   std::vector<instance_evidence> records;
 
@@ -27,8 +26,8 @@
 };
 
 struct dated_evidence {
-  instance_evidence evidence;  // its age is of no meaning
-  std::int64_t when_ms = 0;    // of the last change, by a leader's wall clock
+  instance_evidence evidence;  // `age` is not used
+  std::int64_t when_ms = 0;    // time of the last change by the leader's wall clock
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -41,10 +40,9 @@
  public:
   void apply(const evidence_batch& batch, std::int64_t leader_clock_ms);
 
-  /// Whether a record would change anything if it were applied. One with successes
-  /// only is not kept.
+  /// Whether applying the record would change the state. Records of successes only are not kept.
   [[nodiscard]] auto wants(const instance_evidence& evidence) const -> bool;
-  /// With their age by a wall clock; none older than evidence_lifetime.
+  /// Returns the records younger than evidence_lifetime, with their age at wall clock `clock_ms`.
   [[nodiscard]] auto records_at(std::int64_t clock_ms) const -> std::vector<instance_evidence>;
 
   [[nodiscard]] auto snapshot() const -> std::vector<dated_evidence>;
--- a/core/crash_evidence/evidence_registry.cc
+++ b/core/crash_evidence/evidence_registry.cc
@@ -3,12 +3,12 @@
 namespace ramppond {
 namespace {
 
-// Three crashes find a harmful request. Fewer records of one service, and servers
-// that crash all the time for another reason push those three out at once; more,
-// and one service takes up the room of the others.
-constexpr auto most_of_service = std::size_t(64);
-// Of all services: 4 KB each at the most, 8 MB.
-constexpr auto most_records = std::size_t(2048);
+// Three crashes identify a harmful request. With fewer records per service, servers that keep
+// crashing for another reason would quickly evict those three; with more, one service would take
+// the space of the others.
+constexpr auto max_per_service = std::size_t(64);
+// In total, at up to 4 KB each: 8 MB.
+constexpr auto max_records = std::size_t(2048);
 
 }  // namespace
 
@@ -23,11 +23,11 @@
     this->drop(evidence.instance_id);
   }
   this->make_room(evidence.service, now);
-  this->taken += 1;
+  this->last_change += 1;
   auto& held = this->records[evidence.instance_id];
-  held = {evidence, now - evidence.age, this->taken};
-  this->by_service[evidence.service][this->taken] = evidence.instance_id;
-  this->changes[this->taken] = evidence.instance_id;
+  held = {evidence, now - evidence.age, this->last_change};
+  this->by_service[evidence.service][this->last_change] = evidence.instance_id;
+  this->changes[this->last_change] = evidence.instance_id;
   return true;
 }
 
@@ -42,17 +42,17 @@
   this->records.erase(found);
 }
 
-// The oldest give way, and those that have aged.
+// Evicts expired records, and the oldest ones if the limits are reached.
 void evidence_registry::make_room(const std::string& service, TimePoint now) {
   const auto is_old = [&](const std::string& instance_id) {
     return now - this->records.at(instance_id).since >= evidence_lifetime;
   };
   while (!this->changes.empty() &&
-         (this->records.size() >= most_records || is_old(this->changes.begin()->second))) {
+         (this->records.size() >= max_records || is_old(this->changes.begin()->second))) {
     this->drop(std::string(this->changes.begin()->second));
   }
   const auto of_service = this->by_service.find(service);
-  if (of_service != this->by_service.end() && of_service->second.size() >= most_of_service) {
+  if (of_service != this->by_service.end() && of_service->second.size() >= max_per_service) {
     this->drop(std::string(of_service->second.begin()->second));
   }
 }
--- a/core/crash_evidence/evidence_registry.h
+++ b/core/crash_evidence/evidence_registry.h
@@ -1,11 +1,10 @@
-// The newest crash record of each instance, as coordinators and proxies hold it in
-// memory.
+// The newest crash record of each instance, held in memory by coordinators and proxies.
 //
-// Owns the records and the order in which they were taken, by which a reader asks
-// for what is new to it. Records are handed out by service, since they concern the
-// proxies beside the servers of one service only: their cost to a proxy doesn't
-// grow with the fleet. Bounded for a service and as a whole, so that servers that
-// crash all the time fill no coordinator. Pure, not thread safe.
+// Owns the records and the order in which they were accepted, which lets a reader request only what
+// is new to it. Records are read by service, since they concern only the proxies beside the servers
+// of that service; the cost for a proxy does not grow with the fleet. The number of records is
+// limited per service and in total, so that servers that keep crashing cannot exhaust the memory of
+// a coordinator. No I/O; not thread safe.
 #pragma once
 
 #include <cstdint>
@@ -20,33 +19,34 @@
 
 class evidence_registry {
  public:
-  /// Takes a record that is newer than the one held for its instance and younger
-  /// than evidence_lifetime. Returns whether it was taken.
+  /// Accepts a record if it is newer than the one held for its instance and younger than
+  /// evidence_lifetime. Returns whether it was accepted.
   auto offer(const instance_evidence& evidence, TimePoint now) -> bool;
 
-  /// Records of `service` (of all for an empty name) taken after counter() had
-  /// the value `since`, with their age at `now`.
+  /// Returns the records of `service` (of all services if empty) that were accepted after counter()
+  /// had the value `since`, with their age at `now`.
   [[nodiscard]] auto changes_since(std::uint64_t since, const std::string& service,
                                    TimePoint now) const -> std::vector<instance_evidence>;
-  /// Whether changes_since() would give any.
+  /// Whether changes_since() would return any records.
   [[nodiscard]] auto has_changes(std::uint64_t since, const std::string& service) const -> bool;
 
-  /// Grows by one with each record taken.
-  [[nodiscard]] auto counter() const -> std::uint64_t { return this->taken; }
+  /// Increases by one with each accepted record.
+  [[nodiscard]] auto counter() const -> std::uint64_t { return this->last_change; }
 
  private:
   struct held_record {
     instance_evidence evidence;
-    TimePoint since{0};  // its age counts from here
+    TimePoint since{0};  // time of its last change
     std::uint64_t changed = 0;
   };
   void drop(const std::string& instance_id);
   void make_room(const std::string& service, TimePoint now);
 
-  std::map<std::string, held_record> records;                              // by instance
-  std::map<std::string, std::map<std::uint64_t, std::string>> by_service;  // change to instance
-  std::map<std::uint64_t, std::string> changes;                            // of all services
-  std::uint64_t taken = 0;
+  std::map<std::string, held_record> records;  // by instance
+  // By service: the instances in the order of their last change, by change number.
+  std::map<std::string, std::map<std::uint64_t, std::string>> by_service;
+  std::map<std::uint64_t, std::string> changes;  // likewise for all services together
+  std::uint64_t last_change = 0;
 };
 
 }  // namespace ramppond
--- a/core/crash_evidence/instance_evidence.h
+++ b/core/crash_evidence/instance_evidence.h
@@ -1,10 +1,9 @@
 // The crash record of one instance of a server.
 //
-// Written by the proxy beside that server alone, with a higher revision at each
-// change. The highest revision replaces the others in whatever order they come, so
-// any coordinator and any proxy may pass a record on. An instance that has not
-// crashed has a record only while suspected requests succeed at it. Sent and
-// stored by field number: the numbers are never given anew.
+// Written only by the proxy beside that server, with a higher revision at each change. The highest
+// revision replaces all others in whatever order they arrive, so any coordinator or proxy may
+// forward a record. An instance that has not crashed has a record only if suspected requests
+// succeeded at it. Sent and stored by field number; field numbers are never reused.
 #pragma once
 
 #include <cstdint>
@@ -16,27 +15,28 @@
 
 namespace ramppond {
 
-/// How long a crash counts against the requests that were under way at it. Shorter,
-/// and a harmful request that is rarely sent is never found; longer, and innocent
-/// ones gather crashes of other causes.
+/// How long a crash counts against the requests that were in flight at it. If it were shorter, a
+/// harmful request that is rarely sent would never be identified; if longer, harmless requests
+/// would accumulate crashes of other causes.
 constexpr auto evidence_lifetime = std::chrono::duration_cast<Duration>(std::chrono::minutes(30));
-/// A server works on a few hundred requests at a time at most; of a longer list
-/// the first are taken.
-constexpr auto most_under_way = std::size_t(256);
-constexpr auto most_succeeded = std::size_t(64);
+/// Maximum number of requests in a crash record. A server runs at most a few hundred requests at a
+/// time; a longer list is truncated.
+constexpr auto max_under_way = std::size_t(256);
+/// Maximum number of successful requests in a record.
+constexpr auto max_succeeded = std::size_t(64);
 
 struct instance_evidence {
   std::string instance_id;
   std::string service;
   std::uint64_t revision = 0;
   Duration age{0};  // since its last change, at the time of sending
-  /// Requests that the server was at work on when it crashed, without those that
-  /// had succeeded there of late; empty while it runs.
+  /// Requests in flight when the server crashed, without those that had recently succeeded there;
+  /// empty while the server runs.
   std::vector<request_digest> under_way;
-  /// Those of them that ran isolated: begun as suspected, with no other suspected
-  /// request at the server.
+  /// The subset that ran isolated: started while suspected, with no other suspected request at the
+  /// server.
   std::vector<request_digest> isolated;
-  /// Suspected requests that succeeded at it.
+  /// Suspected requests that succeeded at this instance.
   std::vector<request_digest> succeeded;
 
   template <class Visitor>
--- a/core/crash_evidence/isolation_queue.cc
+++ b/core/crash_evidence/isolation_queue.cc
@@ -4,18 +4,18 @@
 
 namespace ramppond {
 
-auto isolation_queue::enter(request_id id, TimePoint give_up) -> bool {
-  if (!this->holder && this->queue.empty()) {
-    this->holder = id;
+auto isolation_queue::enter(request_id id, TimePoint wait_deadline) -> bool {
+  if (!this->running && this->queue.empty()) {
+    this->running = id;
     return true;
   }
-  this->queue.push_back({id, give_up});
+  this->queue.push_back({id, wait_deadline});
   return false;
 }
 
 void isolation_queue::leave(request_id id) {
-  if (this->holder == id) {
-    this->holder.reset();
+  if (this->running == id) {
+    this->running.reset();
     return;
   }
   this->queue.erase(std::remove_if(this->queue.begin(), this->queue.end(),
@@ -24,19 +24,19 @@
 }
 
 auto isolation_queue::take_next() -> std::optional<request_id> {
-  if (this->holder || this->queue.empty()) {
+  if (this->running || this->queue.empty()) {
     return std::nullopt;
   }
-  this->holder = this->queue.front().id;
+  this->running = this->queue.front().id;
   this->queue.pop_front();
-  return this->holder;
+  return this->running;
 }
 
 auto isolation_queue::take_expired(TimePoint now) -> std::vector<request_id> {
   auto expired = std::vector<request_id>();
   auto kept = std::deque<waiter>();
   for (const auto& w : this->queue) {
-    if (w.give_up <= now) {
+    if (w.wait_deadline <= now) {
       expired.push_back(w.id);
     } else {
       kept.push_back(w);
@@ -49,7 +49,7 @@
 auto isolation_queue::next_expiry() const -> std::optional<TimePoint> {
   auto next = std::optional<TimePoint>();
   for (const auto& w : this->queue) {
-    next = std::min(next.value_or(w.give_up), w.give_up);
+    next = std::min(next.value_or(w.wait_deadline), w.wait_deadline);
   }
   return next;
 }
--- a/core/crash_evidence/isolation_queue.h
+++ b/core/crash_evidence/isolation_queue.h
@@ -1,10 +1,9 @@
-// Lets one suspected request at a time through to a server, so that a crash of the
-// server names it.
+// A FIFO queue that admits one suspected request at a time to a server, so that a crash of the
+// server identifies it.
 //
-// Owns the order of those that wait, and who runs. Relies on its caller to say when
-// a request has ended or waits no longer, and to ask for those whose time to wait
-// is over: most suspected requests are innocent and must not wait for long. Pure,
-// not thread safe.
+// Owns the queue of waiting requests and the id of the running one. Relies on the caller to report
+// when a request has ended or stopped waiting, and to collect the requests whose wait has expired:
+// most suspected requests are harmless and must not wait for long. No I/O; not thread safe.
 #pragma once
 
 #include <cstdint>
@@ -18,28 +17,28 @@
 
 class isolation_queue {
  public:
-  /// Names one request; chosen by the caller, never reused.
+  /// Identifies a request. Chosen by the caller and never reused.
   using request_id = std::uint64_t;
 
-  /// Whether it may run at once; otherwise it waits, until `give_up` at the latest.
-  auto enter(request_id id, TimePoint give_up) -> bool;
-  /// It has ended or waits no longer; without effect on one that never entered.
+  /// Returns whether the request may run at once. Otherwise it waits until `wait_deadline`.
+  auto enter(request_id id, TimePoint wait_deadline) -> bool;
+  /// The request has ended or stopped waiting. No effect if it never entered.
   void leave(request_id id);
-  /// The next one that may run, if none does.
+  /// Returns the next request to run if none is running and one is waiting.
   auto take_next() -> std::optional<request_id>;
-  /// Takes out those whose `give_up` has come.
+  /// Removes and returns the waiting requests whose deadline has passed.
   auto take_expired(TimePoint now) -> std::vector<request_id>;
-  /// When take_expired() may next give something; nothing if none waits.
+  /// Earliest deadline of the waiting requests, or std::nullopt if none waits.
   [[nodiscard]] auto next_expiry() const -> std::optional<TimePoint>;
 
-  [[nodiscard]] auto is_free() const -> bool { return !this->holder; }
+  [[nodiscard]] auto is_free() const -> bool { return !this->running; }
 
  private:
   struct waiter {
     request_id id;
-    TimePoint give_up;
+    TimePoint wait_deadline;
   };
-  std::optional<request_id> holder;
+  std::optional<request_id> running;
   std::deque<waiter> queue;
 };
 
--- a/core/crash_evidence/quarantine_placement.h
+++ b/core/crash_evidence/quarantine_placement.h
@@ -1,9 +1,9 @@
-// Chooses the one server of a service at which a request on trial may run.
+// Selects the one server of a service at which a quarantined request may run.
 //
-// Rendezvous hashing of the digest and the addresses of the proxies beside the
-// servers: proxies that know the same servers choose the same one without asking
-// each other, another one for another request, and another one once it is gone.
-// A further crash then costs the service one server. Pure, thread safe.
+// Uses rendezvous hashing of the digest and the addresses of the proxies beside the servers.
+// Proxies that know the same servers select the same one without communication; different requests
+// get different servers, and another server is selected once one is gone. A further crash then
+// costs the service one server. Stateless; thread safe.
 #pragma once
 
 #include <string>
@@ -13,8 +13,8 @@
 
 namespace ramppond {
 
-/// Whether the server beside `own` has the trial; `proxies` are those beside all
-/// servers of the service, with or without `own`.
+/// Whether the request may run at the server beside proxy `own`. `proxies` are the proxies beside
+/// all servers of the service, with or without `own`.
 [[nodiscard]] auto is_quarantine_proxy(const request_digest& digest, const std::string& own,
                                        const std::vector<std::string>& proxies) -> bool;
 
--- a/core/crash_evidence/recent_successes.h
+++ b/core/crash_evidence/recent_successes.h
@@ -1,9 +1,8 @@
-// Which requests succeeded of late at the server beside this proxy.
+// The requests that recently succeeded at the server beside this proxy.
 //
-// Owns the digests of the last 15 to 30 s, bounded. A request that crashes servers
-// never succeeds, so what is listed here is innocent of a crash: the most popular
-// requests, which are under way at most crashes, are cleared by this first. Pure,
-// not thread safe.
+// Owns the digests of the last 15 to 30 s, in bounded memory. A request that crashes servers never
+// succeeds, so the listed requests cannot have caused a crash. This rules out the most frequent
+// requests in particular, which are in flight at most crashes. No I/O; not thread safe.
 #pragma once
 
 #include <unordered_set>
@@ -19,13 +18,12 @@
   [[nodiscard]] auto contains(const request_digest& digest, TimePoint now) const -> bool;
 
  private:
-  void turn(TimePoint now);
+  void rotate(TimePoint now);
 
-  // Two generations: what is added goes to the newer one, the older one is dropped
-  // whole.
+  // Two generations: digests are added to the newer one, and the older one is dropped as a whole.
   std::unordered_set<request_digest> newer;
   std::unordered_set<request_digest> older;
-  TimePoint turned{0};
+  TimePoint rotated_at{0};
 };
 
 }  // namespace ramppond
--- a/core/crash_evidence/request_digest.cc
+++ b/core/crash_evidence/request_digest.cc
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr auto digest_bytes = std::size_t(16);
-constexpr auto digits_a_half = std::size_t(16);
+constexpr auto digits_per_half = std::size_t(16);
 constexpr auto hexadecimal = 16;
 
-// Each part goes in with its length, so that no two lists of parts look alike.
+// Each part is prefixed with its length, so that different lists of parts have different encodings.
 void add_part(crypto_generichash_state& state, std::string_view part) {
   const auto length = static_cast<std::uint64_t>(part.size());
   auto prefix = std::array<unsigned char, sizeof(length)>();
@@ -24,11 +24,11 @@
 }
 
 auto format_half(std::uint64_t half) -> std::string {
-  auto digits = std::array<char, digits_a_half>();
+  auto digits = std::array<char, digits_per_half>();
   const auto end =
       std::to_chars(digits.data(), digits.data() + digits.size(), half, hexadecimal).ptr;
   const auto text = std::string(digits.data(), end);
-  return std::string(digits_a_half - text.size(), '0') + text;
+  return std::string(digits_per_half - text.size(), '0') + text;
 }
 
 auto parse_half(std::string_view text) -> std::optional<std::uint64_t> {
@@ -61,11 +61,11 @@
 }
 
 auto parse_digest(std::string_view text) -> std::optional<request_digest> {
-  if (text.size() != 2 * digits_a_half) {
+  if (text.size() != 2 * digits_per_half) {
     return std::nullopt;
   }
-  const auto high = parse_half(text.substr(0, digits_a_half));
-  const auto low = parse_half(text.substr(digits_a_half));
+  const auto high = parse_half(text.substr(0, digits_per_half));
+  const auto low = parse_half(text.substr(digits_per_half));
   if (!high || !low) {
     return std::nullopt;
   }
--- a/core/crash_evidence/request_digest.h
+++ b/core/crash_evidence/request_digest.h
@@ -1,10 +1,9 @@
-// A digest by which a request is known again, whatever its id.
+// A digest that identifies equal requests independently of their ids.
 //
-// Made of method, host, path with query, caller and the first 64 KiB of the body.
-// Each attempt and each retry of a client has an id of its own, so the id is no
-// part of it; nor are the machine at which a request begins and the service that
-// runs there, since the same request may come at any machine. Two uploads that
-// differ later only count as one. Pure, thread safe.
+// Computed from method, host, path with query, caller and the first 64 KiB of the body. The id is
+// not included, since each attempt and each client retry has its own. Neither are the machine where
+// a request enters and the service that runs there, since the same request may arrive at any
+// machine. Uploads that differ only after the first 64 KiB have the same digest. Thread safe.
 #pragma once
 
 #include <cstddef>
@@ -16,8 +15,8 @@
 
 namespace ramppond {
 
-/// 128 bits of BLAKE2b, which nobody can make collide: no request can be sent that
-/// gets another one blocked.
+/// 128 bits of BLAKE2b. Collisions cannot be constructed, so no client can get the request of
+/// another one blocked.
 struct request_digest {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -38,11 +37,11 @@
   }
 };
 
-/// Of a longer body this many bytes count: a streamed body leaves before all of it
-/// has come. Fewer, and uploads with the same beginning count as one.
+/// Maximum number of body bytes in the digest, since a streamed body is forwarded before all of it
+/// has arrived. With fewer, more uploads with the same beginning would have the same digest.
 constexpr auto digested_body_bytes = std::size_t(65536);
 
-/// What of a request goes into its digest.
+/// The parts of a request that are included in its digest.
 struct request_identity {
   std::string_view method;
   std::string_view host;
@@ -53,9 +52,9 @@
 
 [[nodiscard]] auto digest_of(const request_identity& identity) -> request_digest;
 
-/// 32 hexadecimal digits.
+/// Formats a digest as 32 hexadecimal digits.
 [[nodiscard]] auto format_digest(const request_digest& digest) -> std::string;
-/// Nothing if the text is not of that form.
+/// Parses the result of format_digest(). Returns std::nullopt if the text is malformed.
 [[nodiscard]] auto parse_digest(std::string_view text) -> std::optional<request_digest>;
 
 }  // namespace ramppond
--- a/tests/core/crash_evidence/crash_fleet_test.cc
+++ b/tests/core/crash_evidence/crash_fleet_test.cc
@@ -1,7 +1,7 @@
-// Hundreds of proxies beside the servers of one service, in virtual time: some
-// requests crash the servers that run them and come again at any proxy, all
-// others are served. The proxies report to each other through three members of
-// the control group, a few tenths of a second late.
+// Simulates hundreds of proxies beside the servers of one service in virtual time. Some requests
+// crash the servers that run them and are sent again to any proxy; all others succeed. The proxies
+// report to each other through three members of the control group with a delay of a few tenths of a
+// second.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,14 +21,14 @@
 namespace {
 
 constexpr auto step = milliseconds(5);
-constexpr auto work = milliseconds(120);
-constexpr auto work_until_crash = milliseconds(90);
+constexpr auto service_time = milliseconds(120);
+constexpr auto time_until_crash = milliseconds(90);
 constexpr auto time_to_restart = seconds(3);
 constexpr auto time_left = seconds(5);
 constexpr auto poll_interval = milliseconds(20);
 constexpr auto pull_interval = milliseconds(150);
 constexpr auto members = std::size_t(3);
-constexpr auto report_delay = seconds(3);  // the longest that it may take
+constexpr auto report_delay = seconds(3);  // maximum
 constexpr auto popular_requests = std::uint64_t(50);
 
 auto is_harmful(const request_digest& digest) -> bool {
@@ -37,18 +37,18 @@
 
 struct fleet_options {
   std::size_t proxies = 200;
-  std::uint64_t harmful = 1;       // different ones
-  double harmful_a_second = 4;     // tries, of all
-  double others_a_second = 400;    // tries, half of them of popular requests
+  std::uint64_t harmful = 1;       // number of distinct harmful requests
+  double harmful_per_second = 4;   // attempts, of all of them together
+  double others_per_second = 400;  // attempts, half of them of popular requests
   bool reports = true;             // proxies report to each other
-  std::size_t killed_at_once = 0;  // for another reason, at 2 s
-  std::size_t most_crashes = 0;    // of servers: what is under way while reports travel
+  std::size_t killed_at_once = 0;  // servers killed for another reason, after 2 s
+  std::size_t max_crashes = 0;     // of servers, including runs while reports are in transit
 };
 
 struct fleet_outcome {
-  std::size_t crashes = 0;     // of servers, by requests
-  std::size_t late_sends = 0;  // the most of one request, after its third crash and report_delay
-  std::size_t blocked_others = 0;  // blocked at some proxy when the run is over
+  std::size_t crashes = 0;    // of servers, by requests
+  std::size_t late_runs = 0;  // maximum per request, later than report_delay after its third crash
+  std::size_t blocked_others = 0;  // blocked at some proxy at the end of the run
   std::size_t others = 0;
   std::size_t others_refused = 0;  // by a block
 };
@@ -63,7 +63,7 @@
 
 struct waiting_run {
   run_of_request run;
-  bool goes_on_at_last = false;
+  bool runs_on_expiry = false;
 };
 
 struct simulated_proxy {
@@ -74,7 +74,7 @@
   std::vector<run_of_request> running;
   std::uint64_t starts = 1;
   TimePoint back{0};
-  std::uint64_t known = 0;  // of its member's changes
+  std::uint64_t known = 0;  // change counter of its member
 
   auto instance() const -> server_instance {
     return {this->address + "#" + std::to_string(this->starts), "templates"};
@@ -91,7 +91,7 @@
     }
   }
 
-  auto play(Duration length) -> fleet_outcome {
+  auto run_for(Duration length) -> fleet_outcome {
     for (const auto end = this->now + length; this->now < end; this->now += step) {
       this->arrive();
       for (const auto& proxy : this->proxies) {
@@ -102,20 +102,20 @@
     }
     this->outcome.blocked_others = this->count_blocked_others();
     for (const auto& [digest, sends] : this->late) {
-      this->outcome.late_sends = std::max(this->outcome.late_sends, sends);
+      this->outcome.late_runs = std::max(this->outcome.late_runs, sends);
     }
     return this->outcome;
   }
 
  private:
-  auto occurs(double a_second) -> bool {
-    return this->random.uniform() < a_second * std::chrono::duration<double>(step).count();
+  auto occurs(double per_second) -> bool {
+    return this->random.uniform() < per_second * std::chrono::duration<double>(step).count();
   }
-  auto up(const simulated_proxy& proxy) const -> bool { return proxy.back <= this->now; }
+  auto is_up(const simulated_proxy& proxy) const -> bool { return proxy.back <= this->now; }
   auto ready_proxies() const -> std::vector<std::string> {
     auto ready = std::vector<std::string>();
     for (const auto& proxy : this->proxies) {
-      if (this->up(*proxy)) {
+      if (this->is_up(*proxy)) {
         ready.push_back(proxy->address);
       }
     }
@@ -123,10 +123,11 @@
   }
 
   void arrive() {
-    if (this->occurs(this->options.harmful_a_second)) {
+    if (this->occurs(this->options.harmful_per_second)) {
       this->send({1, this->random.below(this->options.harmful)}, false);
     }
-    const auto others = this->options.others_a_second * std::chrono::duration<double>(step).count();
+    const auto others =
+        this->options.others_per_second * std::chrono::duration<double>(step).count();
     for (auto due = others; due > 0; due -= 1) {
       if (this->random.uniform() >= due) {
         continue;
@@ -139,18 +140,18 @@
     }
   }
 
-  // To a server that is up, drawn by lot; a few are asked.
+  // Sends to a random server that is up; tries a few.
   void send(const request_digest& digest, bool retry) {
     for (auto asked = 0; asked < 6; ++asked) {
       auto& proxy = *this->proxies[this->random.below(this->proxies.size())];
-      if (this->up(proxy) &&
+      if (this->is_up(proxy) &&
           this->offer(proxy, {digest, this->next_id++, this->now, retry, false})) {
         return;
       }
     }
   }
 
-  // Whether it is not asked elsewhere.
+  // Returns false if the request has to be sent to another proxy.
   auto offer(simulated_proxy& proxy, const run_of_request& run) -> bool {
     if (run.retry) {
       proxy.ledger.on_reported_crash(run.digest, this->now);
@@ -193,7 +194,7 @@
 
   void advance(simulated_proxy& proxy) {
     const auto crashes_it = [&](const run_of_request& run) {
-      return is_harmful(run.digest) && this->now - run.begun >= work_until_crash;
+      return is_harmful(run.digest) && this->now - run.begun >= time_until_crash;
     };
     const auto end = std::find_if(proxy.running.begin(), proxy.running.end(), crashes_it);
     if (end != proxy.running.end()) {
@@ -203,7 +204,7 @@
     }
     auto running = std::vector<run_of_request>();
     for (const auto& run : proxy.running) {
-      if (this->now - run.begun < work) {
+      if (this->now - run.begun < service_time) {
         running.push_back(run);
         continue;
       }
@@ -219,7 +220,7 @@
       auto waited = proxy.waiting[id];
       proxy.waiting.erase(id);
       waited.run.isolated = false;
-      if (waited.goes_on_at_last) {
+      if (waited.runs_on_expiry) {
         this->begin(proxy, waited.run);
       }
     }
@@ -332,18 +333,18 @@
   fleet_options options;
 };
 
-// Keeps the name of a test the same in every run.
+// Without this, gtest prints the bytes of the struct, which differ between runs.
 void PrintTo(const fleet_case& tested, std::ostream* out) {
   *out << tested.name;
 }
 
-auto make_options(std::size_t proxies, std::uint64_t harmful, double harmful_a_second,
-                  std::size_t most_crashes) -> fleet_options {
+auto make_options(std::size_t proxies, std::uint64_t harmful, double harmful_per_second,
+                  std::size_t max_crashes) -> fleet_options {
   auto options = fleet_options();
   options.proxies = proxies;
   options.harmful = harmful;
-  options.harmful_a_second = harmful_a_second;
-  options.most_crashes = most_crashes;
+  options.harmful_per_second = harmful_per_second;
+  options.max_crashes = max_crashes;
   return options;
 }
 
@@ -352,11 +353,11 @@
 
 class crash_fleet_table : public testing::TestWithParam<fleet_case> {};
 
-TEST_P(crash_fleet_table, runs_no_request_more_than_three_times_after_it_is_proved) {
+TEST_P(crash_fleet_table, harmful_request_runs_at_most_three_times_after_its_third_crash) {
   for (auto seed = std::uint64_t(1); seed <= seeds; ++seed) {
-    const auto outcome = simulated_fleet(GetParam().options, seed).play(length);
-    EXPECT_LE(outcome.late_sends, 3U) << "seed " << seed;
-    EXPECT_LE(outcome.crashes, GetParam().options.most_crashes) << "seed " << seed;
+    const auto outcome = simulated_fleet(GetParam().options, seed).run_for(length);
+    EXPECT_LE(outcome.late_runs, 3U) << "seed " << seed;
+    EXPECT_LE(outcome.crashes, GetParam().options.max_crashes) << "seed " << seed;
     EXPECT_EQ(outcome.blocked_others, 0U) << "seed " << seed;
     EXPECT_LE(outcome.others_refused * 500, outcome.others) << "seed " << seed;
   }
@@ -370,19 +371,19 @@
                     fleet_case{"several_harmful_requests", make_options(60, 3, 6, 18)}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// The same without reports between proxies: each has to find out by itself.
-TEST(crash_fleet, of_proxies_that_hear_nothing_runs_it_again_and_again) {
+// Control experiment without reports between proxies.
+TEST(crash_fleet, without_reports_a_harmful_request_keeps_running) {
   auto options = make_options(200, 1, 4, 0);
   options.reports = false;
-  EXPECT_GT(simulated_fleet(options, 1).play(length).late_sends, 30U);
+  EXPECT_GT(simulated_fleet(options, 1).run_for(length).late_runs, 30U);
 }
 
-// Servers that crash for another reason, all with the popular requests under way.
-TEST(crash_fleet, blocks_nothing_that_was_under_way_at_the_crashes_of_half_of_the_servers) {
+// Servers crash for another reason, all with the popular requests in flight.
+TEST(crash_fleet, simultaneous_crashes_of_half_the_servers_block_nothing) {
   for (auto seed = std::uint64_t(1); seed <= seeds; ++seed) {
     auto options = make_options(60, 1, 0, 0);
     options.killed_at_once = 30;
-    const auto outcome = simulated_fleet(options, seed).play(length);
+    const auto outcome = simulated_fleet(options, seed).run_for(length);
     EXPECT_EQ(outcome.blocked_others, 0U) << "seed " << seed;
     EXPECT_EQ(outcome.others_refused, 0U) << "seed " << seed;
   }
--- a/tests/core/crash_evidence/crash_ledger_test.cc
+++ b/tests/core/crash_evidence/crash_ledger_test.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr auto harmful = request_digest{1, 1};
-constexpr auto beside = request_digest{2, 2};
+constexpr auto unrelated = request_digest{2, 2};
 constexpr auto popular = request_digest{3, 3};
 const auto here = server_instance{"a", "templates"};
 const auto there = server_instance{"b", "templates"};
@@ -16,7 +16,7 @@
 class two_proxies : public testing::Test {
  protected:
   void pass_on() {
-    for (auto round = 0; round < 4; ++round) {  // until nobody has anything to report
+    for (auto round = 0; round < 4; ++round) {  // until neither has anything to report
       this->second.take(this->first.take_unreported(), there, this->now);
       this->first.take(this->second.take_unreported(), here, this->now);
     }
@@ -41,21 +41,21 @@
   TimePoint now = TimePoint(std::chrono::hours(10));
 };
 
-TEST_F(two_proxies, block_what_crashed_both_servers_and_clear_what_was_beside) {
-  this->crash(this->first, here, {harmful, beside});
+TEST_F(two_proxies, block_the_request_that_crashed_both_servers_and_clear_the_other) {
+  this->crash(this->first, here, {harmful, unrelated});
   this->pass_on();
   EXPECT_TRUE(this->suspects(this->second, harmful));
-  EXPECT_TRUE(this->suspects(this->second, beside));
+  EXPECT_TRUE(this->suspects(this->second, unrelated));
   this->crash(this->second, there, {harmful});
   this->pass_on();
   for (const auto* ledger : {&this->first, &this->second}) {
     EXPECT_TRUE(this->blocks(*ledger, harmful));
-    EXPECT_FALSE(this->suspects(*ledger, beside));
+    EXPECT_FALSE(this->suspects(*ledger, unrelated));
   }
 }
 
-TEST_F(two_proxies, report_to_each_other_by_a_retry_before_the_record_has_come) {
-  this->crash(this->first, here, {harmful, beside});
+TEST_F(two_proxies, learn_of_a_crash_from_a_retry_before_its_record_arrives) {
+  this->crash(this->first, here, {harmful, unrelated});
   this->second.on_reported_crash(harmful, this->now);
   this->crash(this->second, there, {harmful, popular});
   this->pass_on();
@@ -63,15 +63,15 @@
   EXPECT_TRUE(this->blocks(this->second, harmful));
 }
 
-TEST_F(two_proxies, suspect_nothing_that_succeeded_at_the_server_of_late) {
+TEST_F(two_proxies, do_not_suspect_a_request_that_succeeded_recently) {
   this->first.on_success(popular, here, this->now);
-  this->crash(this->first, here, {popular, beside});
+  this->crash(this->first, here, {popular, unrelated});
   this->pass_on();
   EXPECT_FALSE(this->suspects(this->first, popular));
   EXPECT_FALSE(this->suspects(this->second, popular));
 }
 
-TEST_F(two_proxies, clear_for_all_what_succeeded_at_one) {
+TEST_F(two_proxies, clear_a_request_that_succeeded_at_either) {
   this->second.on_success(popular, there, this->now);
   this->crash(this->first, here, {popular});
   this->crash(this->first, {"a2", "templates"}, {popular});
@@ -82,9 +82,9 @@
   EXPECT_EQ(this->second.cleared(), 1U);
 }
 
-// A proxy that joins receives records of crashes only: what was cleared since is not held against
-// anybody.
-TEST_F(two_proxies, withdraw_what_was_cleared_from_what_a_third_receives) {
+// A proxy that joins receives only records of crashes. Guards against suspecting a request there
+// that was cleared before it joined.
+TEST_F(two_proxies, withdraw_a_cleared_request_from_the_records_of_its_crashes) {
   this->crash(this->first, here, {popular});
   this->crash(this->first, {"a2", "templates"}, {popular});
   auto reported = this->first.take_unreported();
@@ -100,7 +100,7 @@
   EXPECT_FALSE(this->suspects(third, popular));
 }
 
-TEST(quarantine_placement, is_one_daemon_for_all_and_moves_only_when_it_is_gone) {
+TEST(quarantine_placement, selects_one_daemon_and_moves_only_when_it_is_removed) {
   auto proxies = std::vector<std::string>();
   for (auto i = 0; i < 200; ++i) {
     proxies.push_back("10.0.0." + std::to_string(i) + ":7060");
--- a/tests/core/crash_evidence/evidence_log_test.cc
+++ b/tests/core/crash_evidence/evidence_log_test.cc
@@ -21,16 +21,16 @@
   return evidence;
 }
 
-TEST(evidence_log, keeps_crashes_and_what_changes_them_but_no_successes_alone) {
+TEST(evidence_log, keeps_crash_records_and_their_updates_but_no_records_of_successes_only) {
   auto log = evidence_log();
   EXPECT_FALSE(log.wants(record("a", 1, false)));
   EXPECT_TRUE(log.wants(record("a", 1, true)));
   log.apply({{record("a", 1, true)}}, clock_ms);
   EXPECT_FALSE(log.wants(record("a", 1, true)));
-  EXPECT_TRUE(log.wants(record("a", 2, false)));  // the last of them was cleared
+  EXPECT_TRUE(log.wants(record("a", 2, false)));  // its last request was cleared
 }
 
-TEST(evidence_log, gives_ages_by_the_clock_of_the_reader) {
+TEST(evidence_log, record_age_follows_the_clock_of_the_reader) {
   auto log = evidence_log();
   auto aged = record("a", 1, true);
   aged.age = seconds(3);
@@ -38,12 +38,12 @@
   const auto held = log.records_at(clock_ms + 5000);
   ASSERT_EQ(held.size(), 1U);
   EXPECT_EQ(held[0].age, seconds(8));
-  EXPECT_EQ(log.records_at(clock_ms - 60000)[0].age, Duration(0));  // a clock that runs behind
+  EXPECT_EQ(log.records_at(clock_ms - 60000)[0].age, Duration(0));  // the reader's clock is behind
   const auto lifetime_ms = std::chrono::duration_cast<milliseconds>(evidence_lifetime).count();
   EXPECT_TRUE(log.records_at(clock_ms + lifetime_ms).empty());
 }
 
-TEST(evidence_log, is_bounded) {
+TEST(evidence_log, holds_at_most_256_records) {
   auto log = evidence_log();
   for (auto i = 0; i < 1000; ++i) {
     log.apply({{record("i-" + std::to_string(i), 1, true)}}, clock_ms + i);
--- a/tests/core/crash_evidence/evidence_registry_test.cc
+++ b/tests/core/crash_evidence/evidence_registry_test.cc
@@ -16,7 +16,7 @@
   return evidence;
 }
 
-TEST(evidence_registry, gives_a_proxy_what_is_new_of_its_service) {
+TEST(evidence_registry, returns_new_records_of_the_requested_service) {
   auto registry = evidence_registry();
   EXPECT_TRUE(registry.offer(record("a", "templates"), now));
   EXPECT_TRUE(registry.offer(record("b", "exports"), now));
@@ -27,7 +27,7 @@
   EXPECT_FALSE(registry.has_changes(0, "records"));
 }
 
-TEST(evidence_registry, holds_the_newest_record_of_an_instance) {
+TEST(evidence_registry, keeps_the_newest_record_of_an_instance) {
   auto registry = evidence_registry();
   EXPECT_TRUE(registry.offer(record("a", "templates", 2), now));
   EXPECT_FALSE(registry.offer(record("a", "templates", 1), now));
@@ -39,7 +39,7 @@
   EXPECT_EQ(held[0].revision, 3U);
 }
 
-TEST(evidence_registry, gives_the_age_of_a_record_and_drops_old_ones) {
+TEST(evidence_registry, returns_the_age_of_a_record_and_drops_expired_ones) {
   auto registry = evidence_registry();
   auto aged = record("a", "templates");
   aged.age = seconds(5);
@@ -51,7 +51,7 @@
   EXPECT_FALSE(registry.offer(aged, now));
 }
 
-TEST(evidence_registry, is_bounded_for_a_service_and_as_a_whole) {
+TEST(evidence_registry, is_bounded_per_service_and_in_total) {
   auto registry = evidence_registry();
   for (auto i = 0; i < 500; ++i) {
     registry.offer(record("noisy-" + std::to_string(i), "noisy"), now);
--- a/tests/core/crash_evidence/evidence_session_test.cc
+++ b/tests/core/crash_evidence/evidence_session_test.cc
@@ -1,5 +1,5 @@
-// How evidence travels: from a proxy to a member, from member to member, to proxies beside servers
-// of the same service, and again when a member or a leader is lost.
+// Distribution of crash evidence from a proxy to a member, between members, and to the proxies
+// beside servers of the same service, also after the loss or restart of members.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -23,7 +23,7 @@
   return evidence;
 }
 
-/// Three members and some proxies in virtual time; each proxy polls whom it chooses.
+/// Simulates three members and several proxies in virtual time; each proxy selects its member.
 class control_group : public testing::Test {
  protected:
   void SetUp() override {
@@ -137,7 +137,7 @@
     }
   }
 
-  /// Their time-outs, as the driver reports them.
+  /// Reports a timeout for each pending poll, as the driver does.
   void lose_polls_under_way() {
     for (const auto& [token, asked] : std::exchange(this->polls, {})) {
       this->proxies[asked.first]->onReply(asked.second, std::nullopt, this->now);
@@ -157,13 +157,13 @@
   std::vector<std::unique_ptr<ProxySession>> proxies;
   std::map<ControlToken, std::pair<std::size_t, std::uint64_t>> polls;
   std::map<ControlToken, std::pair<std::size_t, std::uint64_t>> pulls;
-  std::size_t down = members;  // that member stands still
+  std::size_t down = members;  // index of the stopped member, if any
   std::uint64_t epochs = 0;
   ControlToken tokens = 0;
   TimePoint now = seconds(1000);
 };
 
-TEST_F(control_group, takes_evidence_to_the_proxies_of_the_service_within_half_a_second) {
+TEST_F(control_group, evidence_reaches_proxies_of_the_service_within_half_a_second) {
   auto& reporter = this->join("d1", "templates");
   auto same = std::vector<ProxySession*>();
   for (auto i = 0; i < 6; ++i) {  // some of them poll other members
@@ -180,7 +180,7 @@
   EXPECT_TRUE(this->instances_reported_to(reporter).empty());
 }
 
-TEST_F(control_group, reports_to_a_proxy_that_joins_later) {
+TEST_F(control_group, evidence_reaches_a_proxy_that_joins_later) {
   auto& reporter = this->join("d1", "templates");
   this->run(seconds(3));
   reporter.reportEvidence(evidence_of("i-1", "templates"), this->now);
@@ -190,8 +190,8 @@
   EXPECT_EQ(this->instances_reported_to(late), std::vector<std::string>{"i-1"});
 }
 
-// The members hold evidence in memory: the proxies report it again.
-TEST_F(control_group, learns_it_again_after_all_members_were_restarted) {
+// Members hold evidence only in memory, so proxies have to report it again after a restart.
+TEST_F(control_group, evidence_is_reported_again_after_all_members_restart) {
   auto& reporter = this->join("d1", "templates");
   this->run(seconds(3));
   reporter.reportEvidence(evidence_of("i-1", "templates"), this->now);
@@ -207,7 +207,7 @@
   EXPECT_EQ(this->instances_reported_to(late), std::vector<std::string>{"i-1"});
 }
 
-TEST_F(control_group, passes_it_on_by_the_others_when_the_member_that_received_it_is_lost) {
+TEST_F(control_group, evidence_survives_the_loss_of_the_member_that_received_it) {
   auto& reporter = this->join("d1", "templates");
   this->run(seconds(3));
   reporter.reportEvidence(evidence_of("i-1", "templates"), this->now);
--- a/tests/core/crash_evidence/isolation_queue_test.cc
+++ b/tests/core/crash_evidence/isolation_queue_test.cc
@@ -7,7 +7,7 @@
 
 constexpr auto now = TimePoint(seconds(100));
 
-TEST(isolation_queue, lets_one_through_at_a_time_in_order) {
+TEST(isolation_queue, admits_one_request_at_a_time_in_order) {
   auto queue = isolation_queue();
   EXPECT_TRUE(queue.enter(1, now + seconds(1)));
   EXPECT_FALSE(queue.enter(2, now + seconds(1)));
@@ -22,7 +22,7 @@
   EXPECT_TRUE(queue.enter(4, now + seconds(1)));
 }
 
-TEST(isolation_queue, is_not_jumped_while_others_wait) {
+TEST(isolation_queue, new_request_does_not_overtake_waiting_ones) {
   auto queue = isolation_queue();
   EXPECT_TRUE(queue.enter(1, now));
   EXPECT_FALSE(queue.enter(2, now + seconds(1)));
@@ -31,7 +31,7 @@
   EXPECT_EQ(queue.take_next(), 2U);
 }
 
-TEST(isolation_queue, gives_up_what_has_waited_for_its_time) {
+TEST(isolation_queue, waiting_request_expires_at_its_deadline) {
   auto queue = isolation_queue();
   EXPECT_TRUE(queue.enter(1, now));
   EXPECT_FALSE(queue.enter(2, now + seconds(2)));
@@ -44,7 +44,7 @@
   EXPECT_FALSE(queue.take_next());
 }
 
-TEST(isolation_queue, passes_over_what_never_entered) {
+TEST(isolation_queue, leave_of_an_unknown_request_has_no_effect) {
   auto queue = isolation_queue();
   EXPECT_TRUE(queue.enter(1, now));
   queue.leave(7);
--- a/tests/core/crash_evidence/request_digest_test.cc
+++ b/tests/core/crash_evidence/request_digest_test.cc
@@ -15,14 +15,14 @@
   request_identity identity;
 };
 
-// Keeps the name of a test the same in every run.
+// Without this, gtest prints the bytes of the struct, which differ between runs.
 void PrintTo(const other_request& tested, std::ostream* out) {
   *out << tested.name;
 }
 
 class digest_table : public testing::TestWithParam<other_request> {};
 
-TEST_P(digest_table, of_another_request_differs) {
+TEST_P(digest_table, differs_for_a_different_request) {
   EXPECT_NE(digest_of(GetParam().identity), digest_of(asked));
 }
 
@@ -38,23 +38,23 @@
         other_request{"border", {"GET", "app.example", "/forms/7?full=1c", "ouncil", "body"}}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(request_digest, is_the_same_for_the_same_request) {
+TEST(request_digest, is_equal_for_equal_requests) {
   EXPECT_EQ(digest_of(asked), digest_of(asked));
 }
 
-TEST(request_digest, does_not_wait_for_the_end_of_a_long_body) {
+TEST(request_digest, ignores_the_body_beyond_the_digested_bytes) {
   const auto held = std::string(digested_body_bytes, 'x');
   const auto more = held + "more of it";
   EXPECT_EQ(digest_of({"PUT", "h", "/p", "", held}), digest_of({"PUT", "h", "/p", "", more}));
 }
 
-TEST(request_digest, comes_back_as_it_was_written) {
+TEST(request_digest, parse_reverses_format) {
   const auto digest = request_digest{0x0123456789abcdefU, 0xfU};
   EXPECT_EQ(format_digest(digest), "0123456789abcdef000000000000000f");
   EXPECT_EQ(parse_digest(format_digest(digest)), digest);
 }
 
-TEST(request_digest, is_not_read_from_another_text) {
+TEST(request_digest, parse_rejects_malformed_text) {
   for (const auto* text :
        {"", "12", "0123456789abcdef000000000000000g", "0123456789abcdef000000000000000f0",
         "+123456789abcdef000000000000000f"}) {
