--- a/core/traffic/traffic_configuration.cc
+++ b/core/traffic/traffic_configuration.cc
@@ -41,10 +41,10 @@
   if (prefix.empty() || prefix.front() != '/' || prefix.back() != '/') {
     return "route '" + route.name + "': path prefix: expected a slash at both ends";
   }
-  if (route.timeout <= Duration(0) || route.timeout > kLongestRouteTimeout) {
+  if (route.timeout <= Duration(0) || route.timeout > kMaxRouteTimeout) {
     return "route '" + route.name + "': time-out: expected above 0 and at most 10 minutes";
   }
-  if (route.goal < Duration(0) || route.goal >= route.timeout + kGoalAboveTimeout) {
+  if (route.goal < Duration(0) || route.goal >= route.timeout + kMaxGoalAboveTimeout) {
     return "route '" + route.name + "': goal: expected less than a minute above the time-out";
   }
   return validateSplit(route, services);
--- a/core/traffic/traffic_configuration.h
+++ b/core/traffic/traffic_configuration.h
@@ -1,10 +1,10 @@
-// The traffic configuration: routes, services, tenants and request limits, which operators replace
-// as a whole on a base version.
+// The traffic configuration: routes, services, tenants and request limits. Operators replace it as
+// a whole, based on an earlier version.
 //
-// Decides whether a configuration is valid, which route a request takes and which service of the
-// route's split serves it. Parsing and printing of an operator's document belong to the adapter of
-// its format. Every process that takes a configuration validates it by validateTraffic() only.
-// Pure; the data types may be read from any thread.
+// Validates configurations, selects the route of a request and the service of the route's split
+// that serves it. The adapter of a document format parses and prints the operator's document. Every
+// process that accepts a configuration validates it with validateTraffic(). No I/O; the data types
+// may be read from any thread.
 #pragma once
 
 #include <cstdint>
@@ -18,11 +18,11 @@
 
 namespace ramppond {
 
-/// How often a route's requests may run.
+/// Whether a route's requests may run more than once.
 enum class RequestKind : std::uint8_t {
   kSafe = 0,      ///< May run more than once.
   kUnsafe = 1,    ///< Runs at most once.
-  kDownload = 2,  ///< Large answers; may run more than once.
+  kDownload = 2,  ///< Has large answers; may run more than once.
 };
 
 /// Whether requests of this kind may run more than once.
@@ -30,7 +30,7 @@
   return kind != RequestKind::kUnsafe;
 }
 
-/// One part of a route's split. Weights are fixed-point, in millionths.
+/// A service in a route's split, with its weight in millionths (fixed-point).
 struct WeightedService {
   std::string service;
   std::int64_t weight_millionths = 0;
@@ -47,12 +47,12 @@
   std::string host;         ///< Lower case, without a port.
   std::string path_prefix;  ///< Begins and ends with a slash.
   RequestKind kind = RequestKind::kSafe;
-  Duration timeout{0};             ///< The longest that a request may be held.
-  Duration goal{0};                ///< An answer within this time is in time.
+  Duration timeout{0};             ///< Maximum time that a request may take.
+  Duration goal{0};                ///< Target for the response time.
   std::uint32_t priority = 0;      ///< 0 is the most urgent.
-  std::uint32_t max_attempts = 1;  ///< Servers that one request may be sent to, at most.
+  std::uint32_t max_attempts = 1;  ///< Maximum number of servers per request.
   std::vector<WeightedService> split;
-  bool is_public = false;  ///< Requests need no key although there are tenants.
+  bool is_public = false;  ///< Requests need no key even if there are tenants.
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -69,15 +69,15 @@
   }
 };
 
-/// A sender of requests, known by its keys, and how many it may send over all proxies together.
+/// A sender of requests, identified by its keys, and its rate limit over all proxies together.
 struct TenantDefinition {
   std::string name;
   std::vector<std::string> key_digests;  ///< See core/tenants/key_digest.h.
-  /// Counts before the priority of the route. 0 is the most urgent.
+  /// Takes precedence over the priority of the route. 0 is the most urgent.
   std::uint32_t priority = 0;
-  /// Fixed-point, in thousandths of a request per second; 0 for no limit.
+  /// Rate limit in thousandths of a request per second (fixed-point); 0 for no limit.
   std::uint64_t rate_millis = 0;
-  std::uint64_t burst = 0;  ///< Requests at once beyond the rate.
+  std::uint64_t burst = 0;  ///< Requests beyond the rate that may be sent at once.
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -102,12 +102,12 @@
   }
 };
 
-/// What a client may send, and how long it may take.
+/// Limits on the size of client requests and on the time to send them.
 struct RequestLimits {
   std::uint64_t max_header_bytes = 16384;
   std::uint64_t max_body_bytes = 64ULL << 20U;
-  Duration header_timeout = seconds(5);  ///< For a whole request head.
-  Duration idle_timeout = seconds(60);   ///< Of a kept connection.
+  Duration header_timeout = seconds(5);  ///< To receive a complete request head.
+  Duration idle_timeout = seconds(60);   ///< Of a keep-alive connection.
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -119,11 +119,11 @@
 };
 
 struct TrafficConfiguration {
-  std::uint64_t number = 0;  ///< The operator's version; 0 before the first.
+  std::uint64_t number = 0;  ///< Version given by the operator; 0 before the first one.
   std::vector<TrafficRoute> routes;
   std::vector<ServiceDefinition> services;
   RequestLimits limits;
-  std::vector<TenantDefinition> tenants;  ///< None: requests need no key.
+  std::vector<TenantDefinition> tenants;  ///< If empty, requests need no key.
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -135,29 +135,32 @@
   }
 };
 
-/// The longest time-out that a route may have.
-constexpr Duration kLongestRouteTimeout = std::chrono::minutes(10);
-/// A goal must exceed its route's time-out by less than this.
-constexpr Duration kGoalAboveTimeout = std::chrono::minutes(1);
+/// Maximum timeout of a route.
+constexpr Duration kMaxRouteTimeout = std::chrono::minutes(10);
+/// A route's goal must exceed its timeout by less than this.
+constexpr Duration kMaxGoalAboveTimeout = std::chrono::minutes(1);
 
-/// Why `configuration` may not be put in force: names the entry, the key and what was expected.
-/// Nothing if it is valid. Its number is compared to the one in force by ControlState.
+/// Validates `configuration`. Returns std::nullopt if it is valid, otherwise an error that names
+/// the entry, the key and what was expected. Does not check the number, which ControlState compares
+/// with the one in force.
 std::optional<std::string> validateTraffic(const TrafficConfiguration& configuration);
 
-/// Finds routes by host and longest path prefix. Refers to the configuration it was made from.
+/// Finds routes by host and longest path prefix. Refers to the configuration that it was built
+/// from, which must outlive it.
 class TrafficRoutes {
  public:
   explicit TrafficRoutes(const TrafficConfiguration& configuration);
 
-  /// `host` is a Host header's value (port and case do not matter); `target` a request target,
-  /// whose query is ignored. Nothing if no route matches.
+  /// Returns the route of a request, or nullptr if none matches. `host` is the value of the Host
+  /// header, whose port and case are ignored; `target` is the request target, whose query is
+  /// ignored.
   [[nodiscard]] const TrafficRoute* match(std::string_view host, std::string_view target) const;
 
  private:
   std::map<std::string, std::vector<const TrafficRoute*>> by_host_;  ///< Longest prefix first.
 };
 
-/// The service that serves a request on `route`; `draw` is uniform in [0, 1).
+/// Selects the service for a request on `route` by weight; `draw` is uniform in [0, 1).
 const std::string& chooseService(const TrafficRoute& route, double draw);
 
 }  // namespace ramppond
--- a/core/traffic/traffic_state.cc
+++ b/core/traffic/traffic_state.cc
@@ -8,10 +8,10 @@
 
 TrafficResult TrafficState::apply(const TrafficReplacement& replacement, std::uint64_t log_index) {
   const TrafficConfiguration& next = replacement.configuration;
-  const TakenReplacement wanted = {
+  const AppliedReplacement requested = {
       next.number, replacement.base_number,
       XXH3_64bits(replacement.document.data(), replacement.document.size())};
-  if (wasTaken(wanted)) {
+  if (wasApplied(requested)) {
     return {};
   }
   if (auto error = validateTraffic(next)) {
@@ -29,17 +29,17 @@
   log_index_ = log_index;
   configuration_ = next;
   document_ = replacement.document;
-  taken_.push_back(wanted);
-  if (taken_.size() > kRememberedReplacements) {
-    taken_.pop_front();
+  applied_.push_back(requested);
+  if (applied_.size() > kMaxRememberedReplacements) {
+    applied_.pop_front();
   }
   return {};
 }
 
-bool TrafficState::wasTaken(const TakenReplacement& wanted) const {
-  return std::any_of(taken_.rbegin(), taken_.rend(), [&](const TakenReplacement& taken) {
-    return taken.number == wanted.number && taken.base_number == wanted.base_number &&
-           taken.checksum == wanted.checksum;
+bool TrafficState::wasApplied(const AppliedReplacement& requested) const {
+  return std::any_of(applied_.rbegin(), applied_.rend(), [&](const AppliedReplacement& applied) {
+    return applied.number == requested.number && applied.base_number == requested.base_number &&
+           applied.checksum == requested.checksum;
   });
 }
 
@@ -48,7 +48,7 @@
   snapshot.log_index = log_index_;
   snapshot.configuration = configuration_;
   snapshot.document = document_;
-  snapshot.taken.assign(taken_.begin(), taken_.end());
+  snapshot.applied.assign(applied_.begin(), applied_.end());
   return snapshot;
 }
 
@@ -56,7 +56,7 @@
   log_index_ = snapshot.log_index;
   configuration_ = snapshot.configuration;
   document_ = snapshot.document;
-  taken_.assign(snapshot.taken.begin(), snapshot.taken.end());
+  applied_.assign(snapshot.applied.begin(), snapshot.applied.end());
 }
 
 }  // namespace ramppond
--- a/core/traffic/traffic_state.h
+++ b/core/traffic/traffic_state.h
@@ -1,11 +1,12 @@
-// Decides which replacement of the traffic configuration takes effect.
+// The replicated state of the traffic configuration: decides which replacements take effect.
 //
-// Input: committed replacements in the order of the log. Output: taken, or the reason why not. Owns
-// the configuration in force, the operator's document and the identities of replacements taken
-// before. Deterministic part of ControlState. Pure, not thread safe.
+// Input: committed replacements in log order. Output: success, or the reason for a refusal. Owns
+// the configuration in force, the operator's document and the identities of earlier replacements. A
+// deterministic part of ControlState. No I/O; not thread safe.
 //
-// A replacement names the version that it builds on, so of two on one base exactly one is taken. A
-// replacement that is sent again gets the first answer, also after later replacements.
+// A replacement names the version that it is based on, so only one of two replacements with the
+// same base takes effect. Replacements are idempotent: a repeated one gets the first answer, also
+// after later replacements.
 #pragma once
 
 #include <cstdint>
@@ -17,11 +18,11 @@
 
 namespace ramppond {
 
-/// An operator asks to put a whole configuration in force.
+/// An operator's request to put a complete configuration in force.
 struct TrafficReplacement {
   std::uint64_t base_number = 0;
   TrafficConfiguration configuration;
-  std::string document;  ///< The operator's own text, returned on reads.
+  std::string document;  ///< The operator's document, returned unchanged on reads.
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -31,8 +32,8 @@
   }
 };
 
-/// Identifies a replacement that was taken.
-struct TakenReplacement {
+/// Identifies a replacement that took effect.
+struct AppliedReplacement {
   std::uint64_t number = 0;
   std::uint64_t base_number = 0;
   std::uint64_t checksum = 0;  ///< XXH3-64 of the document.
@@ -45,19 +46,19 @@
   }
 };
 
-/// All of TrafficState, as a snapshot holds it.
+/// The complete TrafficState in a snapshot.
 struct TrafficSnapshot {
   std::uint64_t log_index = 0;
   TrafficConfiguration configuration;
   std::string document;
-  std::vector<TakenReplacement> taken;
+  std::vector<AppliedReplacement> applied;
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
     visitor(1, log_index);
     visitor(2, configuration);
     visitor(3, document);
-    visitor(4, taken);
+    visitor(4, applied);
   }
 };
 
@@ -66,15 +67,15 @@
   std::string reason;
 };
 
-/// Replacements that are recognised when they are sent again: several days of ordinary changes.
-constexpr std::size_t kRememberedReplacements = 4096;
+/// Number of replacements that are recognised when repeated: several days of ordinary changes.
+constexpr std::size_t kMaxRememberedReplacements = 4096;
 
 class TrafficState {
  public:
-  /// Applies one committed replacement that lies at `log_index`.
+  /// Applies the committed replacement at `log_index`.
   TrafficResult apply(const TrafficReplacement& replacement, std::uint64_t log_index);
 
-  /// Place in the log of the configuration in force; 0 before the first. Orders all versions.
+  /// Log index of the configuration in force; 0 before the first. Orders all versions.
   [[nodiscard]] std::uint64_t logIndex() const { return log_index_; }
   [[nodiscard]] const TrafficConfiguration& configuration() const { return configuration_; }
   [[nodiscard]] const std::string& document() const { return document_; }
@@ -83,12 +84,12 @@
   void restore(const TrafficSnapshot& snapshot);
 
  private:
-  [[nodiscard]] bool wasTaken(const TakenReplacement& wanted) const;
+  [[nodiscard]] bool wasApplied(const AppliedReplacement& requested) const;
 
   std::uint64_t log_index_ = 0;
   TrafficConfiguration configuration_;
   std::string document_;
-  std::deque<TakenReplacement> taken_;
+  std::deque<AppliedReplacement> applied_;
 };
 
 }  // namespace ramppond
--- a/tests/core/traffic/traffic_configuration_test.cc
+++ b/tests/core/traffic/traffic_configuration_test.cc
@@ -36,7 +36,7 @@
   return {base, configuration(number), document};
 }
 
-TEST(TrafficRoutes, TheLongestPrefixOfTheHostWins) {
+TEST(TrafficRoutes, MatchSelectsTheLongestPrefixOfTheHost) {
   const TrafficConfiguration traffic = configuration(1);
   const TrafficRoutes routes(traffic);
   EXPECT_EQ(routes.match("forms.example", "/a/b/c")->name, "long");
@@ -46,7 +46,7 @@
   EXPECT_EQ(routes.match("", "/a/b/c"), nullptr);
 }
 
-TEST(TrafficRoutes, SplitsFollowTheirWeights) {
+TEST(TrafficRoutes, ChooseServiceFollowsTheWeights) {
   TrafficRoute split = route("split", "/a/");
   split.split = {{"desk", 3 * kOne}, {"none", 0}, {"yard", kOne}};
   EXPECT_EQ(chooseService(split, 0.0), "desk");
@@ -55,7 +55,7 @@
   EXPECT_EQ(chooseService(split, 0.9999999), "yard");
 }
 
-TEST(TrafficValidation, EveryDefectIsNamed) {
+TEST(TrafficValidation, RejectsEachInvalidField) {
   EXPECT_EQ(validateTraffic(configuration(1)), std::nullopt);
   const auto broken = [](const std::function<void(TrafficRoute&)>& change) {
     TrafficConfiguration bad = configuration(1);
@@ -75,7 +75,7 @@
   EXPECT_NE(broken([](TrafficRoute& bad) { bad.path_prefix = "a/"; }), "");
 }
 
-TEST(TrafficState, OfTwoOnOneBaseOneWins) {
+TEST(TrafficState, SecondReplacementOfOneBaseIsAConflict) {
   TrafficState state;
   EXPECT_EQ(state.apply(replacement(0, 2, "first"), 5).error, ErrorKind::kNone);
   EXPECT_EQ(state.apply(replacement(0, 2, "second"), 6).error, ErrorKind::kVersionConflict);
@@ -83,7 +83,7 @@
   EXPECT_EQ(state.logIndex(), 5U);
 }
 
-TEST(TrafficState, ARepeatedReplacementIsTakenAgainAlsoAfterLaterOnes) {
+TEST(TrafficState, RepeatedReplacementSucceedsWithoutEffect) {
   TrafficState state;
   EXPECT_EQ(state.apply(replacement(0, 2, "first"), 5).error, ErrorKind::kNone);
   EXPECT_EQ(state.apply(replacement(2, 4, "second"), 6).error, ErrorKind::kNone);
@@ -92,7 +92,7 @@
   EXPECT_EQ(state.logIndex(), 6U);
 }
 
-TEST(TrafficState, NumbersOnlyRiseAndInvalidOnesChangeNothing) {
+TEST(TrafficState, RejectsLowerNumbersAndInvalidConfigurations) {
   TrafficState state;
   EXPECT_EQ(state.apply(replacement(0, 2, "first"), 5).error, ErrorKind::kNone);
   EXPECT_EQ(state.apply(replacement(2, 2, "same"), 6).error, ErrorKind::kMalformedRequest);
@@ -103,7 +103,7 @@
   EXPECT_EQ(state.configuration().number, 2U);
 }
 
-TEST(TrafficState, ASnapshotKeepsAllOfIt) {
+TEST(TrafficState, SnapshotRestoresTheWholeState) {
   TrafficState state;
   state.apply(replacement(0, 2, "first"), 5);
   state.apply(replacement(2, 4, "second"), 6);
