--- a/core/distribution/instance_record.h
+++ b/core/distribution/instance_record.h
@@ -1,5 +1,5 @@
-// The record of a server that the proxy beside it writes, as it travels between proxies and
-// coordinators. Pure data.
+// The record of a server, written by the proxy beside it and exchanged between proxies and
+// coordinators. Plain data.
 #pragma once
 
 #include <cstdint>
@@ -11,24 +11,24 @@
 namespace ramppond {
 
 enum class InstanceState : std::uint8_t {
-  kNone = 0,      ///< The proxy knows no server beside it, or the server has ended.
-  kReady = 1,     ///< Takes requests.
-  kDraining = 2,  ///< Is leaving and takes no new requests.
-  kStopping = 3,  ///< Its proxy is stopping: chosen only if no other is left.
+  kNone = 0,      ///< The proxy knows no server beside it, or the server has stopped.
+  kReady = 1,     ///< Accepts requests.
+  kDraining = 2,  ///< Is leaving and accepts no new requests.
+  kStopping = 3,  ///< Its proxy is stopping: selected only if no other server is left.
 };
 
-/// Written by one proxy only, so the higher (incarnation, revision) is the newer one.
+/// Only one proxy writes a record, so the higher (proxy_incarnation, revision) is the newer one.
 struct InstanceRecord {
-  std::string proxy_address;            ///< HOST:PORT where the proxy takes requests of its peers.
-  std::uint64_t proxy_incarnation = 0;  ///< Of the proxy's process; a later start has a higher one.
-  std::uint64_t revision = 0;           ///< Rises with every change within a process.
+  std::string proxy_address;  ///< HOST:PORT where the proxy accepts requests of its peers.
+  std::uint64_t proxy_incarnation = 0;  ///< Of the proxy's process; increases with each start.
+  std::uint64_t revision = 0;           ///< Increases with every change within a process.
   std::string zone;
   std::string
-      server_incarnation;  ///< Name of the server's incarnation; core/lifecycle/local_server.h.
+      server_incarnation;  ///< Name of the server's incarnation; see core/lifecycle/local_server.h.
   std::string service;
-  std::uint32_t slots = 0;  ///< Requests that the server works on at a time.
+  std::uint32_t slots = 0;  ///< Number of requests that the server runs concurrently.
   InstanceState state = InstanceState::kNone;
-  Duration cold_left{0};  ///< How much longer the server is slow from its start, when reported.
+  Duration cold_left{0};  ///< Remaining warm-up time of the server when the record was written.
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
--- a/core/distribution/instance_registry.cc
+++ b/core/distribution/instance_registry.cc
@@ -22,28 +22,27 @@
   return found == records_.end() ? nullptr : &found->second.record;
 }
 
-std::vector<bool> InstanceRegistry::bucketsThatAgree(
-    const std::vector<std::uint64_t>& known) const {
-  std::vector<bool> agree(record_digests::bucket_count, false);
-  if (known.size() != agree.size()) {
-    return agree;
+std::vector<bool> InstanceRegistry::matchingBuckets(const std::vector<std::uint64_t>& known) const {
+  std::vector<bool> matches(record_digests::bucket_count, false);
+  if (known.size() != matches.size()) {
+    return matches;
   }
-  for (std::size_t bucket = 0; bucket < agree.size(); ++bucket) {
-    agree[bucket] = known[bucket] == digests_.buckets()[bucket];
+  for (std::size_t bucket = 0; bucket < matches.size(); ++bucket) {
+    matches[bucket] = known[bucket] == digests_.buckets()[bucket];
   }
-  return agree;
+  return matches;
 }
 
-RegistryChanges InstanceRegistry::changesSince(std::uint64_t since, std::size_t most,
+RegistryChanges InstanceRegistry::changesSince(std::uint64_t since, std::size_t max_records,
                                                const std::vector<std::uint64_t>& known) const {
-  const std::vector<bool> agree = bucketsThatAgree(known);
+  const std::vector<bool> matches = matchingBuckets(known);
   RegistryChanges changes;
   for (auto change = changes_.upper_bound(since); change != changes_.end(); ++change) {
     const auto& [counter, proxy] = *change;
-    if (agree[record_digests::bucket_of(proxy)]) {
+    if (matches[record_digests::bucket_of(proxy)]) {
       continue;
     }
-    if (changes.records.size() == most) {
+    if (changes.records.size() == max_records) {
       return changes;
     }
     changes.records.emplace_back();
--- a/core/distribution/proxy_messages.cc
+++ b/core/distribution/proxy_messages.cc
@@ -7,13 +7,13 @@
 namespace ramppond {
 
 std::vector<ControlMemberLocation> locationsOf(const ProxyNews& news) {
-  std::vector<ControlMemberLocation> places;
+  std::vector<ControlMemberLocation> locations;
   for (std::size_t index = 0; index < news.member_addresses.size(); ++index) {
     const bool has_zone = index < news.member_zones.size();
-    places.push_back(
+    locations.push_back(
         {news.member_addresses[index], has_zone ? news.member_zones[index] : std::string()});
   }
-  return places;
+  return locations;
 }
 
 std::uint64_t digestOf(std::vector<ControlMemberLocation> members) {
--- a/core/distribution/proxy_messages.h
+++ b/core/distribution/proxy_messages.h
@@ -1,5 +1,5 @@
 // Messages between proxies and coordinators about the traffic configuration, the servers and
-// crashes. Carried inside ControlRequest and ControlReply. Pure data; field numbers are fixed.
+// crashes. Carried inside ControlRequest and ControlReply. Plain data; field numbers are fixed.
 #pragma once
 
 #include <cstdint>
@@ -13,23 +13,23 @@
 
 namespace ramppond {
 
-/// The question of a proxy; the answer may be held until there is news. Coordinators ask each other
-/// in the same form, without a record of their own.
+/// A long poll of a proxy: the coordinator may hold the answer until there is news. Coordinators
+/// poll each other with the same message, without a record of their own.
 struct ProxyPoll {
   bool has_self = false;
-  InstanceRecord self;                      ///< The asking proxy's own record.
-  std::uint64_t traffic_index = 0;          ///< Log index of the configuration held; 0 for none.
-  std::uint64_t registry_epoch = 0;         ///< Of the coordinator whose counter follows.
-  std::uint64_t registry_counter = 0;       ///< Its records are known up to here.
-  Duration hold{0};                         ///< How long the answer may wait for news.
-  bool wants_proof = false;                 ///< The answer is to be confirmed by a quorum.
-  std::vector<instance_evidence> evidence;  ///< That the coordinator may not know.
-  std::string evidence_service;             ///< Evidence of this service is wanted.
-  std::uint64_t evidence_counter = 0;       ///< Known up to here, as registry_counter is.
-  /// Of the records held, for a coordinator whose counter is not known; see record_digests.
+  InstanceRecord self;                 ///< The record written by the polling proxy.
+  std::uint64_t traffic_index = 0;     ///< Log index of the configuration held; 0 for none.
+  std::uint64_t registry_epoch = 0;    ///< Of the coordinator that registry_counter belongs to.
+  std::uint64_t registry_counter = 0;  ///< The coordinator's records are known up to here.
+  Duration hold{0};                    ///< How long the answer may be held until there is news.
+  bool wants_proof = false;            ///< Requests an answer that a quorum has confirmed.
+  std::vector<instance_evidence> evidence;  ///< Crash evidence that the coordinator may not know.
+  std::string evidence_service;             ///< Requests evidence of this service.
+  std::uint64_t evidence_counter = 0;  ///< Evidence is known up to here, like registry_counter.
+  /// Digests of the records held, for a coordinator whose counter is unknown; see record_digests.
   std::vector<std::uint64_t> record_digests;
-  bool takes_differences = false;    ///< A configuration may come as a difference.
-  std::uint64_t members_digest = 0;  ///< Of the coordinators that are known; see digestOf().
+  bool takes_differences = false;    ///< A configuration may be sent as a difference.
+  std::uint64_t members_digest = 0;  ///< Of the known coordinators; see digestOf().
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -49,19 +49,20 @@
   }
 };
 
-/// The traffic_index of a poll that wants no configuration.
+/// The traffic_index of a poll that requests no configuration.
 constexpr std::uint64_t kNoTrafficWanted = ~std::uint64_t{0};
 
 /// The answer to a ProxyPoll.
 struct ProxyNews {
   std::uint64_t traffic_index = 0;  ///< Of `traffic` or `traffic_difference`; 0 for no news.
   std::string traffic;              ///< An encoded TrafficConfiguration.
-  std::string traffic_difference;   ///< In its place: an encoded traffic_difference.
+  std::string traffic_difference;   ///< Instead of `traffic`: an encoded traffic_difference.
   std::uint64_t registry_epoch = 0;
   std::uint64_t registry_counter = 0;
   std::vector<Preencoded<InstanceRecord>> instances;
-  /// Coordinators, HOST:PORT; none if those that the asker knows have not changed. A coordinator
-  /// that asks gets the answering one only, since it has the others from the log.
+  /// Addresses of the coordinators, HOST:PORT; empty if they match members_digest of the poll. A
+  /// polling coordinator gets only that of the answering one, since it knows the others from the
+  /// log.
   std::vector<std::string> member_addresses;
   std::uint64_t evidence_counter = 0;
   std::vector<instance_evidence> evidence;
@@ -92,9 +93,9 @@
   }
 };
 
-/// The coordinators that `news` names.
+/// Returns the coordinators listed in `news`.
 std::vector<ControlMemberLocation> locationsOf(const ProxyNews& news);
-/// A digest of `members`, independent of their order; never 0.
+/// Returns a digest of `members` that is independent of their order and never 0.
 std::uint64_t digestOf(std::vector<ControlMemberLocation> members);
 
 }  // namespace ramppond
--- a/core/distribution/record_digests.cc
+++ b/core/distribution/record_digests.cc
@@ -7,7 +7,7 @@
 namespace ramppond {
 namespace {
 
-// A proxy writes each record under a new number, so the number stands for the contents.
+// A proxy writes each record with a new (incarnation, revision), which identifies its contents.
 auto digest_of(const InstanceRecord& record) -> std::uint64_t {
   const auto& address = record.proxy_address;
   const auto of_proxy = XXH3_64bits(address.data(), address.size());
--- a/core/distribution/record_digests.h
+++ b/core/distribution/record_digests.h
@@ -1,9 +1,10 @@
-// Digests of the records of all servers that a process holds, to find what another process lacks.
+// Digests of the instance records held by a process, used to find the records that another process
+// lacks.
 //
-// Owns one digest for each of 64 buckets of records. Proxies and coordinators run the same class: a
-// proxy that begins to ask another coordinator sends its digests, and gets the records of those
-// buckets only in which the two differ. Mostly these are none, while all records grow with the
-// fleet. Pure, not thread safe.
+// Owns one digest for each of 64 buckets of records. Proxies and coordinators use the same class. A
+// proxy that switches to another coordinator sends its digests and gets only the records of buckets
+// whose digests differ. Usually there are none, while the number of all records grows with the
+// fleet. No I/O; not thread safe.
 #pragma once
 
 #include <cstdint>
@@ -17,16 +18,16 @@
 
 class record_digests {
  public:
-  /// More: each poll with digests is longer, by 9 bytes a bucket. Fewer: one record that differs
-  /// brings more records of its bucket along.
+  /// Each bucket adds 9 bytes to a poll with digests. With fewer buckets, each differing record
+  /// causes more records of its bucket to be sent.
   static constexpr auto bucket_count = std::size_t(64);
 
   record_digests() : digests(bucket_count, 0) {}
 
-  /// Replaces an older record of the same proxy; a newer one stays.
+  /// Adds a record or replaces an older one of the same proxy. Ignored if a newer one is held.
   void put(const InstanceRecord& record);
 
-  /// By bucket. Equal records give equal digests; others differ except by chance (2^-64).
+  /// Digests by bucket. Equal records give equal digests; others differ except by chance (2^-64).
   [[nodiscard]] auto buckets() const -> const std::vector<std::uint64_t>& { return this->digests; }
 
   static auto bucket_of(const std::string& proxy_address) -> std::size_t;
--- a/core/distribution/traffic_difference.cc
+++ b/core/distribution/traffic_difference.cc
@@ -17,14 +17,14 @@
 template <class Entry>
 auto difference_of_lists(const std::vector<Entry>& earlier, const std::vector<Entry>& later)
     -> std::vector<list_part<Entry>> {
-  auto places = std::map<std::string, std::uint64_t>();
+  auto locations = std::map<std::string, std::uint64_t>();
   for (auto i = std::size_t(0); i < earlier.size(); ++i) {
-    places[encode(earlier[i])] = i;
+    locations[encode(earlier[i])] = i;
   }
   auto parts = std::vector<list_part<Entry>>();
   for (const auto& entry : later) {
-    const auto place = places.find(encode(entry));
-    if (place == places.end()) {
+    const auto place = locations.find(encode(entry));
+    if (place == locations.end()) {
       if (parts.empty() || parts.back().count > 0) {
         parts.emplace_back();
       }
--- a/core/distribution/traffic_difference.h
+++ b/core/distribution/traffic_difference.h
@@ -1,8 +1,9 @@
-// A traffic configuration as its difference from an earlier one.
+// Encodes a traffic configuration as the difference from an earlier one.
 //
-// Most changes touch a few of hundreds of routes, so the difference is some hundred bytes where the
-// whole is tens of kilobytes, for every proxy and change. apply() checks the digest of the result;
-// if it does not fit, the caller asks for the whole. Pure; any thread.
+// Most changes affect a few of hundreds of routes. A difference then takes some hundred bytes per
+// proxy and change, while a full configuration takes tens of kilobytes. apply() checks the digest
+// of the result; if it does not match, the caller requests the full configuration. Stateless; may
+// be called from any thread.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +15,7 @@
 
 namespace ramppond {
 
-/// Entries of a list: either `count` of the earlier list from `first` on, or new ones.
+/// Part of a list: either `count` entries of the earlier list starting at `first`, or new entries.
 template <class Entry>
 struct list_part {
   std::uint64_t first = 0;
@@ -36,7 +37,7 @@
   std::vector<list_part<ServiceDefinition>> services;
   std::vector<list_part<TenantDefinition>> tenants;
   RequestLimits limits;
-  std::uint64_t digest = 0;  ///< XXH3-64 of the encoded configuration that results.
+  std::uint64_t digest = 0;  ///< XXH3-64 of the resulting encoded configuration.
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -50,11 +51,13 @@
   }
 };
 
-/// What leads from `earlier`, which is at `base_index`, to `later`. Entries keep their order.
+/// Returns the difference from `earlier`, which has log index `base_index`, to `later`. The order
+/// of entries is preserved.
 auto difference_of(std::uint64_t base_index, const TrafficConfiguration& earlier,
                    const TrafficConfiguration& later) -> traffic_difference;
 
-/// The configuration that results, or nothing if `difference` does not fit `earlier`.
+/// Returns the resulting configuration, or std::nullopt if `difference` does not apply to
+/// `earlier`.
 auto apply(const traffic_difference& difference, const TrafficConfiguration& earlier)
     -> std::optional<TrafficConfiguration>;
 
--- a/core/distribution/traffic_history.cc
+++ b/core/distribution/traffic_history.cc
@@ -9,8 +9,9 @@
 namespace ramppond {
 namespace {
 
-// A proxy that is not cut off gets each change within a second, and operators make three a second
-// at most. Fewer: proxies that are a little late get the whole. More: memory.
+// A connected proxy gets each change within a second, and operators make at most three changes a
+// second. With fewer entries, slightly late proxies get the full configuration; more entries take
+// more memory.
 constexpr auto max_earlier = std::size_t(8);
 
 }  // namespace
@@ -28,7 +29,7 @@
   }
   for (auto& p : this->earlier) {
     p.difference.clear();
-    p.compared = false;
+    p.difference_computed = false;
   }
   this->index = log_index;
   this->current = configuration;
@@ -37,12 +38,13 @@
 
 auto traffic_history::difference_from(std::uint64_t base_index) -> const std::string& {
   static const auto none = std::string();
-  const auto found = std::find_if(this->earlier.begin(), this->earlier.end(),
-                                  [&](const past& p) { return p.log_index == base_index; });
+  const auto found =
+      std::find_if(this->earlier.begin(), this->earlier.end(),
+                   [&](const previous_version& p) { return p.log_index == base_index; });
   if (found == this->earlier.end()) {
     return none;
   }
-  if (!std::exchange(found->compared, true)) {
+  if (!std::exchange(found->difference_computed, true)) {
     auto difference = encode(difference_of(base_index, found->configuration, this->current));
     if (difference.size() < this->encoded.size()) {
       found->difference = std::move(difference);
--- a/core/distribution/traffic_history.h
+++ b/core/distribution/traffic_history.h
@@ -1,6 +1,6 @@
-// Holds the traffic configuration in force at a coordinator and the eight before it, each encoded
-// once for all proxies: whole, and as the difference from every earlier one that proxies may hold.
-// Pure, not thread safe.
+// Holds the traffic configuration in force at a coordinator and the eight before it. The one in
+// force is encoded once for all proxies: in full, and as the difference from each earlier one that
+// proxies may hold. No I/O; not thread safe.
 #pragma once
 
 #include <cstdint>
@@ -13,27 +13,27 @@
 
 class traffic_history {
  public:
-  /// `configuration` is in force since `log_index`. Nothing changes if it was before.
+  /// Sets the configuration in force, which has log index `log_index`. No effect if it already was.
   void on_in_force(std::uint64_t log_index, const TrafficConfiguration& configuration);
 
-  /// The encoded configuration in force.
+  /// Returns the encoded configuration in force.
   [[nodiscard]] auto whole() const -> const std::string& { return this->encoded; }
-  /// The encoded difference from the configuration at `base_index`; empty where that one is
-  /// forgotten, or where the difference is no shorter than the whole.
+  /// Returns the encoded difference from the configuration at `base_index`. Empty if that one is no
+  /// longer held or if the difference is no shorter than the full configuration.
   auto difference_from(std::uint64_t base_index) -> const std::string&;
 
  private:
-  struct past {
+  struct previous_version {
     std::uint64_t log_index;
     TrafficConfiguration configuration;
-    std::string difference;  // to the one in force; empty until it is asked for
-    bool compared = false;
+    std::string difference;  // to the one in force; computed on first use
+    bool difference_computed = false;
   };
 
   std::uint64_t index = 0;
   TrafficConfiguration current;
   std::string encoded;
-  std::deque<past> earlier;  // oldest first
+  std::deque<previous_version> earlier;  // oldest first
 };
 
 }  // namespace ramppond
--- a/tests/core/distribution/distribution_fleet.cc
+++ b/tests/core/distribution/distribution_fleet.cc
@@ -66,8 +66,8 @@
 }
 
 void DistributionFleet::restart(std::size_t daemon) {
-  for (auto asked = asked_.begin(); asked != asked_.end();) {
-    asked = asked->second.daemon == daemon ? asked_.erase(asked) : std::next(asked);
+  for (auto pending = pending_.begin(); pending != pending_.end();) {
+    pending = pending->second.daemon == daemon ? pending_.erase(pending) : std::next(pending);
   }
   known_.at(daemon).clear();
   sessions_.at(daemon) = sessionOf(daemon, sessions_.at(daemon)->ownRecord().proxy_incarnation + 1);
@@ -82,7 +82,7 @@
     for (const auto& [token, reply] : group_.takeAnswers()) {
       deliver(token, reply);
     }
-    giveUp();
+    expirePolls();
   }
 }
 
@@ -94,21 +94,21 @@
   const std::size_t member = ControlGroup::memberAt(outgoing->address);
   const ControlToken token =
       member == silent_ ? next_unanswered_++ : group_.request(member, outgoing->request);
-  asked_[token] = {daemon, outgoing->poll_id, group_.now() + outgoing->timeout};
+  pending_[token] = {daemon, outgoing->poll_id, group_.now() + outgoing->timeout};
 }
 
 void DistributionFleet::deliver(ControlToken token, const ControlReply& reply) {
-  const auto asked = asked_.find(token);
-  if (asked == asked_.end()) {
+  const auto pending = pending_.find(token);
+  if (pending == pending_.end()) {
     return;
   }
-  const std::size_t daemon = asked->second.daemon;
+  const std::size_t daemon = pending->second.daemon;
   const std::uint64_t bytes = encode(reply).size();
-  told_.all += bytes;
-  told_.longest_answer = std::max(told_.longest_answer, bytes);
+  sent_.all += bytes;
+  sent_.longest_answer = std::max(sent_.longest_answer, bytes);
   ProxySession& session = *sessions_[daemon];
-  session.onReply(asked->second.poll_id, reply, group_.now());
-  asked_.erase(asked);
+  session.onReply(pending->second.poll_id, reply, group_.now());
+  pending_.erase(pending);
   if (!session.upstream().empty()) {
     answered_by_[daemon] = ControlGroup::memberAt(session.upstream());
   }
@@ -117,14 +117,14 @@
   }
 }
 
-void DistributionFleet::giveUp() {
-  for (auto asked = asked_.begin(); asked != asked_.end();) {
-    if (group_.now() < asked->second.give_up) {
-      ++asked;
+void DistributionFleet::expirePolls() {
+  for (auto pending = pending_.begin(); pending != pending_.end();) {
+    if (group_.now() < pending->second.deadline) {
+      ++pending;
       continue;
     }
-    sessions_[asked->second.daemon]->onReply(asked->second.poll_id, std::nullopt, group_.now());
-    asked = asked_.erase(asked);
+    sessions_[pending->second.daemon]->onReply(pending->second.poll_id, std::nullopt, group_.now());
+    pending = pending_.erase(pending);
   }
 }
 
--- a/tests/core/distribution/traffic_difference_test.cc
+++ b/tests/core/distribution/traffic_difference_test.cc
@@ -23,7 +23,7 @@
 
 class traffic_difference_table : public testing::TestWithParam<change_case> {};
 
-TEST_P(traffic_difference_table, leads_to_the_same_configuration) {
+TEST_P(traffic_difference_table, apply_restores_the_later_configuration) {
   const auto earlier = configurationOf(1, 50);
   auto later = earlier;
   later.number = 2;
@@ -62,7 +62,7 @@
         change_case{"limits", [](auto& c) { c.limits.max_body_bytes = 5; }}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(traffic_difference, does_not_fit_another_configuration) {
+TEST(traffic_difference, apply_rejects_another_base) {
   const auto earlier = configurationOf(1, 50);
   auto later = earlier;
   later.routes[3].priority = 4;
@@ -77,7 +77,7 @@
   EXPECT_FALSE(apply(beyond, earlier));
 }
 
-TEST(traffic_history, knows_differences_from_the_last_few) {
+TEST(traffic_history, keeps_differences_from_recent_configurations) {
   auto history = traffic_history();
   auto configuration = configurationOf(1, 50);
   for (auto i = std::uint64_t(1); i <= 20; ++i) {
@@ -92,7 +92,7 @@
   EXPECT_TRUE(history.difference_from(0).empty());
 }
 
-TEST(traffic_history, gives_no_difference_that_is_longer_than_the_whole) {
+TEST(traffic_history, omits_a_difference_longer_than_the_configuration) {
   auto history = traffic_history();
   history.on_in_force(1, configurationOf(1, 50));
   auto other = configurationOf(2, 50);
