--- a/core/session/member_ranking.cc
+++ b/core/session/member_ranking.cc
@@ -8,17 +8,18 @@
 namespace ramppond {
 namespace {
 
-// Pause before a proxy returns to its failed first choice, doubled with each return that failed. A
-// coordinator that was restarted, replaced or cut off is mostly back by then. Shorter: proxies ask
-// one that still fails. Longer: they stay with others, mostly in other zones.
+// Pause before a proxy returns to its failed first choice, doubled after each failed return. A
+// coordinator that was restarted, replaced or disconnected is usually back by then. If it were
+// shorter, proxies would poll a coordinator that still fails; if longer, they would stay with
+// others, mostly in other zones.
 constexpr auto return_pause = seconds(10);
 constexpr auto max_return_doublings = std::uint32_t(2);
-// A coordinator that joins gets its share of the proxies over this time. Shorter: connections and
-// first answers of all of them at once. Longer: it stays idle.
+// A new coordinator gets its share of the proxies over this time. If it were shorter, all of them
+// would connect and get their first answers at once; if longer, it would stay idle.
 constexpr auto move_spread = seconds(5);
-// Former addresses that are asked when no other answers, since all coordinators may have been
-// replaced while this proxy was cut off. Each one that is gone costs the time of a failed poll.
-constexpr auto max_former = std::size_t(4);
+// Number of former addresses that are tried when no other one answers, since all coordinators may
+// have been replaced while this proxy was disconnected. Each obsolete one costs a failed poll.
+constexpr auto max_former_addresses = std::size_t(4);
 
 auto weight(std::uint64_t key, const std::string& member) -> std::uint64_t {
   return XXH3_64bits_withSeed(member.data(), member.size(), key);
@@ -87,33 +88,34 @@
   this->return_at = now + pause + Duration(static_cast<std::int64_t>(jitter));
 }
 
-// Keeps asking `keep` while it stands anywhere in the new order.
+// Recomputes the order. Keeps `keep` as the current address if the new order contains it.
 void member_ranking::rank(const std::string& keep) {
   for (const auto& member : this->order) {
-    if (!contains(this->former, member)) {
-      this->former.push_back(member);
+    if (!contains(this->former_addresses, member)) {
+      this->former_addresses.push_back(member);
     }
   }
-  if (this->former.size() > max_former) {
-    this->former.erase(this->former.begin(), this->former.end() - max_former);
+  if (this->former_addresses.size() > max_former_addresses) {
+    this->former_addresses.erase(this->former_addresses.begin(),
+                                 this->former_addresses.end() - max_former_addresses);
   }
   this->order.clear();
-  auto near = std::vector<std::string>();
-  auto far = std::vector<std::string>();
+  auto same_zone = std::vector<std::string>();
+  auto other_zones = std::vector<std::string>();
   for (const auto& member : this->members) {
-    const auto is_near = !member.zone.empty() && member.zone == this->proxy.zone;
-    (is_near ? near : far).push_back(member.address);
+    const auto is_same_zone = !member.zone.empty() && member.zone == this->proxy.zone;
+    (is_same_zone ? same_zone : other_zones).push_back(member.address);
   }
-  this->rank_group(near);
-  this->rank_group(far);
+  this->rank_group(same_zone);
+  this->rank_group(other_zones);
   this->rank_group(this->seeds);
-  this->rank_group(this->former);
+  this->rank_group(this->former_addresses);
   const auto kept = std::find(this->order.begin(), this->order.end(), keep);
   const auto index = static_cast<std::size_t>(kept - this->order.begin());
   this->position = kept == this->order.end() ? 0 : index;
 }
 
-// Appends those of `group` that are not in the order yet, by weight.
+// Appends the addresses of `group` that are not in the order yet, by weight.
 void member_ranking::rank_group(const std::vector<std::string>& group) {
   auto added = std::vector<std::string>();
   for (const auto& member : group) {
--- a/core/session/member_ranking.h
+++ b/core/session/member_ranking.h
@@ -1,15 +1,16 @@
-// Decides which coordinator a proxy asks, and when it asks another one.
+// Selects the coordinator that a proxy polls, and decides when it switches to another one.
 //
-// Input: the coordinators with their zones, those that the settings name, and whether each answer
-// could be relied upon (times in microseconds). Output: the address to ask. Owns the order of
-// coordinators and the place in it. Pure, not thread safe.
+// Input: the coordinators with their zones, the seeds from the settings, and whether each answer
+// was reliable. Times are in microseconds. Output: the address to poll. Owns the order of
+// coordinators and the current position in it. No I/O; not thread safe.
 //
-// Coordinators of the own zone come first, since bytes between zones have a price. Otherwise each
-// proxy orders them by a hash of its own key and their address (rendezvous hashing; Thaler and
-// Ravishankar, 1998). So proxies spread evenly over the coordinators of a zone, or over all where
-// they have no zones, whichever the settings name, and a coordinator that comes or goes moves only
-// its own share of the proxies. A proxy whose first choice fails goes on to the next and returns
-// later; such moves are spread over several seconds, so that no coordinator gets all at once.
+// Coordinators of the proxy's own zone come first, since traffic between zones is charged. Within a
+// group, each proxy orders them by a hash of its own key and their address (rendezvous hashing;
+// Thaler and Ravishankar, 1998). Proxies therefore spread evenly over the coordinators of a zone,
+// or over all of them without zones, whatever the seeds are, and a coordinator that joins or leaves
+// moves only its own share of the proxies. A proxy whose first choice fails switches to the next
+// one and returns later. Such moves are spread over several seconds, so that no coordinator gets
+// all proxies at once.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +24,7 @@
 
 namespace ramppond {
 
-/// The proxy whose order is sought.
+/// The proxy that coordinators are ranked for.
 struct ranked_proxy {
   std::uint64_t key = 0;  ///< Differs between proxies.
   std::string zone;       ///< Empty for unknown.
@@ -31,22 +32,23 @@
 
 class member_ranking {
  public:
-  /// `seeds` are the coordinators that the settings name.
+  /// `seeds` are the addresses of coordinators in the settings.
   member_ranking(ranked_proxy proxy, const std::vector<std::string>& seeds);
 
   void set_seeds(const std::vector<std::string>& seeds);
-  /// All coordinators, as one reported that hears the leader. At the first report the proxy goes to
-  /// its first choice at once, later within several seconds.
+  /// Sets all coordinators, as reported by one that is in contact with the leader. After the first
+  /// report the proxy switches to its first choice at once, after later ones within several
+  /// seconds.
   void on_members(std::vector<ControlMemberLocation> members, TimePoint now);
-  /// The current coordinator gave an answer that can be relied upon.
+  /// The current coordinator gave a reliable answer.
   void on_answered();
-  /// The current coordinator gave no answer, or one that cannot be relied upon.
+  /// The current coordinator gave no answer or an unreliable one. Switches to the next one.
   void on_failed(TimePoint now);
-  /// Goes back to the first choice if that is due. Returns whether it did.
+  /// Switches back to the first choice if that is due. Returns whether it did.
   auto return_if_due(TimePoint now) -> bool;
 
   [[nodiscard]] auto empty() const -> bool { return this->order.empty(); }
-  /// The coordinator to ask; there must be one.
+  /// The coordinator to poll. Must not be called if empty().
   [[nodiscard]] auto current() const -> const std::string& { return this->order[this->position]; }
 
  private:
@@ -58,8 +60,8 @@
   Random random;
   std::vector<std::string> seeds;
   std::vector<ControlMemberLocation> members;  // sorted by address; empty until reported
-  std::vector<std::string> former;  // members and seeds of earlier orders, the latest last
-  std::vector<std::string> order;   // addresses: members, then seeds, then former ones
+  std::vector<std::string> former_addresses;   // of earlier orders, latest last
+  std::vector<std::string> order;              // addresses: members, then seeds, then former ones
   std::size_t position = 0;
   std::optional<TimePoint> return_at;
   std::uint32_t failed_returns = 0;  // in a row
--- a/core/session/proxy_session.cc
+++ b/core/session/proxy_session.cc
@@ -8,17 +8,19 @@
 namespace ramppond {
 namespace {
 
-// Pause after a failed poll, doubled after every third in a row, with a random addition.
-constexpr Duration kShortestBackoff = milliseconds(50);
+// Pause after a failed poll, doubled after every third consecutive failure, plus random jitter.
+constexpr Duration kMinBackoff = milliseconds(50);
 constexpr std::uint64_t kBackoffSpreadUs = 50000;
 constexpr std::uint32_t kFailuresPerDoubling = 3;
-// More: a configuration arrives seconds late after several failed polls.
+// With more, a configuration would arrive seconds late after several failed polls.
 constexpr std::uint32_t kMaximumDoublings = 3;
-// Answers without proof in a row before another coordinator is asked: one that is cut off from the
-// leader notices that late. At 1, each lost proof makes the proxy move.
-constexpr std::uint32_t kMaximumUnprovenAnswers = 2;
-// Records in one answer from which on the coordinator seems to send all; the next poll sends
-// digests, so that it leaves out known ones. Smaller: digests go along with ordinary changes.
+// Consecutive unconfirmed answers before the proxy switches to another coordinator, since one that
+// is disconnected from the leader notices this late. With 1, each lost confirmation would cause a
+// switch.
+constexpr std::uint32_t kMaximumUnconfirmedAnswers = 2;
+// If an answer has at least this many records, the coordinator probably sends all of them. The next
+// poll then carries digests, so that known records are omitted. With a smaller number, digests
+// would be sent with ordinary changes.
 constexpr std::size_t kManyRecords = 64;
 
 }  // namespace
@@ -93,15 +95,15 @@
   poll.evidence = evidence_.changes_since(evidence_reported_, std::string(), now);
   poll.evidence_service = evidence_service_;
   poll.evidence_counter = evidence_counter_;
-  if (whole_registry_due_) {
+  if (digests_due_) {
     poll.record_digests = digests_.buckets();
   }
-  poll.takes_differences = hasTraffic() && !whole_traffic_due_;
+  poll.takes_differences = hasTraffic() && !full_traffic_due_;
   poll.members_digest = members_digest_;
   return poll;
 }
 
-// After a failure the next answer must come at once: changes may have been missed, and the
+// After a failure the coordinator must answer at once, since changes may have been missed and the
 // coordinator may be down.
 Duration ProxySession::holdOfPoll() const {
   if (!hasTraffic()) {
@@ -141,16 +143,16 @@
   if (reply->authoritative) {
     takeMembers(*news, now);
   }
-  const bool as_new_as_the_answer = traffic_index_ >= news->traffic_index;
-  return current && takeCurrentAnswer(*reply, now) && as_new_as_the_answer;
+  const bool is_up_to_date = traffic_index_ >= news->traffic_index;
+  return current && takeCurrentAnswer(*reply, now) && is_up_to_date;
 }
 
 bool ProxySession::takeCurrentAnswer(const ControlReply& reply, TimePoint now) {
-  unproven_answers_ = reply.quorum_confirmed ? 0 : unproven_answers_ + 1;
-  const bool proof_missing =
-      options_.wants_proof && hasTraffic() && unproven_answers_ >= kMaximumUnprovenAnswers;
-  if (!reply.authoritative || proof_missing) {
-    unproven_answers_ = 0;
+  unconfirmed_answers_ = reply.quorum_confirmed ? 0 : unconfirmed_answers_ + 1;
+  const bool confirmation_missing =
+      options_.wants_proof && hasTraffic() && unconfirmed_answers_ >= kMaximumUnconfirmedAnswers;
+  if (!reply.authoritative || confirmation_missing) {
+    unconfirmed_answers_ = 0;
     record_unreported_ = has_record_;
     tryNextMember(now);
     return false;
@@ -159,7 +161,7 @@
   member_untried_ = false;
   members_.on_answered();
   upstream_ = members_.current();
-  next_poll_ = hasTraffic() ? now : now + kShortestBackoff;
+  next_poll_ = hasTraffic() ? now : now + kMinBackoff;
   return reply.quorum_confirmed;
 }
 
@@ -181,14 +183,14 @@
 void ProxySession::takeRecords(const ProxyNews& news) {
   registry_epoch_ = news.registry_epoch;
   registry_counter_ = news.registry_counter;
-  whole_registry_due_ = news.instances.size() >= kManyRecords;
+  digests_due_ = news.instances.size() >= kManyRecords;
   for (const auto& received : news.instances) {
     const InstanceRecord& record = received.value;
     if (has_record_ && record.proxy_address == record_.proxy_address) {
-      outdateOwnRecord(record);
+      supersedeOwnRecord(record);
     } else {
       digests_.put(record);
-      news_.push_back(record);
+      new_instances_.push_back(record);
     }
   }
 }
@@ -197,13 +199,13 @@
   const auto difference = decode<traffic_difference>(news.traffic_difference);
   const bool fits = difference && difference->base_index == traffic_index_;
   auto traffic = fits ? apply(*difference, traffic_) : std::nullopt;
-  whole_traffic_due_ = !traffic;
+  full_traffic_due_ = !traffic;
   return traffic;
 }
 
 void ProxySession::takeNews(const ProxyNews& news, bool authoritative) {
   takeRecords(news);
-  // A coordinator that hears no leader may hold an old version.
+  // A coordinator without contact to the leader may hold an old version.
   if (!authoritative || news.traffic_index <= traffic_index_) {
     return;
   }
@@ -213,24 +215,24 @@
     traffic_ = std::move(*traffic);
     traffic_index_ = news.traffic_index;
     traffic_changed_ = true;
-    whole_traffic_due_ = false;
+    full_traffic_due_ = false;
   }
 }
 
-// What a coordinator sent is known there and is not reported back.
+// Evidence received from a coordinator is not reported back to it.
 void ProxySession::takeEvidenceNews(const ProxyNews& news, TimePoint now) {
   evidence_counter_ = news.evidence_counter;
   const bool all_reported = evidence_reported_ == evidence_.counter();
   for (const instance_evidence& evidence : news.evidence) {
     if (evidence_.offer(evidence, now)) {
-      evidence_news_.push_back(evidence);
+      new_evidence_.push_back(evidence);
     }
   }
   evidence_reported_ = all_reported ? evidence_.counter() : evidence_reported_;
 }
 
-// An earlier process of this proxy used a number as high as this one (its clock ran ahead).
-void ProxySession::outdateOwnRecord(const InstanceRecord& known) {
+// An earlier process of this proxy used an incarnation at least as high, since its clock was ahead.
+void ProxySession::supersedeOwnRecord(const InstanceRecord& known) {
   if (!known.isNewerThan(record_)) {
     return;
   }
@@ -241,7 +243,7 @@
 void ProxySession::forgetMember() {
   upstream_.clear();
   registry_epoch_ = 0;
-  whole_registry_due_ = true;
+  digests_due_ = true;
   evidence_reported_ = 0;
   member_untried_ = false;
 }
@@ -252,7 +254,7 @@
   const std::uint32_t doublings = std::min(failures_ / kFailuresPerDoubling, kMaximumDoublings);
   failures_ += 1;
   const auto jitter = Duration(static_cast<std::int64_t>(random_.below(kBackoffSpreadUs)));
-  next_poll_ = now + kShortestBackoff * (std::int64_t{1} << doublings) + jitter;
+  next_poll_ = now + kMinBackoff * (std::int64_t{1} << doublings) + jitter;
 }
 
 }  // namespace ramppond
--- a/tests/core/session/member_ranking_test.cc
+++ b/tests/core/session/member_ranking_test.cc
@@ -15,7 +15,7 @@
   return list;
 }
 
-auto places(const std::vector<std::string>& members, const std::string& zone = "")
+auto locations(const std::vector<std::string>& members, const std::string& zone = "")
     -> std::vector<ControlMemberLocation> {
   auto list = std::vector<ControlMemberLocation>();
   for (const auto& member : members) list.push_back({member, zone});
@@ -30,15 +30,15 @@
   return now + seconds(60);
 }
 
-TEST(member_ranking, a_member_that_joins_takes_its_own_share_only) {
+TEST(member_ranking, new_member_takes_only_its_share) {
   auto moved = 0, moved_elsewhere = 0;
   for (auto key = 1; key <= 1000; ++key) {
     auto ranking = member_ranking(proxy_with(key), addresses(5));
-    ranking.on_members(places(addresses(5)), seconds(0));
+    ranking.on_members(locations(addresses(5)), seconds(0));
     ranking.return_if_due(seconds(0));
     const auto before = ranking.current();
-    ranking.on_members(places(addresses(6)), seconds(1));
-    EXPECT_EQ(ranking.current(), before);  // not at once
+    ranking.on_members(locations(addresses(6)), seconds(1));
+    EXPECT_EQ(ranking.current(), before);  // the move is delayed
     ranking.return_if_due(all_moved(seconds(1)));
     moved += ranking.current() != before ? 1 : 0;
     moved_elsewhere += ranking.current() != before && ranking.current() != "10.0.0.5:1" ? 1 : 0;
@@ -47,13 +47,13 @@
   EXPECT_EQ(moved_elsewhere, 0);
 }
 
-TEST(member_ranking, moves_to_a_member_that_joins_are_spread_over_seconds) {
+TEST(member_ranking, moves_to_a_new_member_are_spread_over_seconds) {
   auto moved = std::vector<int>(5, 0);
   for (auto key = 1; key <= 1000; ++key) {
     auto ranking = member_ranking(proxy_with(key), addresses(5));
-    ranking.on_members(places(addresses(5)), seconds(0));
+    ranking.on_members(locations(addresses(5)), seconds(0));
     ranking.return_if_due(seconds(0));
-    ranking.on_members(places(addresses(6)), seconds(0));
+    ranking.on_members(locations(addresses(6)), seconds(0));
     for (auto second = 0; second < 5; ++second) {
       moved[second] += ranking.return_if_due(seconds(second + 1)) ? 1 : 0;
     }
@@ -61,10 +61,10 @@
   for (const auto count : moved) EXPECT_LT(count, 60);
 }
 
-TEST(member_ranking, members_of_the_own_zone_come_first_then_the_others) {
+TEST(member_ranking, members_of_the_own_zone_are_asked_first) {
   for (auto key = 1; key <= 50; ++key) {
     auto ranking = member_ranking(proxy_with(key), addresses(3));
-    auto members = places(addresses(5), "zone-b");
+    auto members = locations(addresses(5), "zone-b");
     members[1].zone = members[4].zone = "zone-a";
     ranking.on_members(members, seconds(1));
     ranking.return_if_due(seconds(1));
@@ -79,7 +79,7 @@
   }
 }
 
-TEST(member_ranking, asks_the_next_after_a_failure_and_returns_later_each_time) {
+TEST(member_ranking, failure_selects_the_next_member_and_returns_back_off) {
   auto ranking = member_ranking(proxy_with(1), addresses(3));
   const auto first = ranking.current();
   auto now = TimePoint(0);
@@ -95,10 +95,10 @@
   }
 }
 
-TEST(member_ranking, comes_to_every_member_in_turn_and_to_those_of_before) {
+TEST(member_ranking, failures_try_all_members_seeds_and_former_members) {
   auto ranking = member_ranking(proxy_with(1), {"seed:1"});
-  ranking.on_members(places({"a:1", "b:1"}), seconds(0));
-  ranking.on_members(places({"b:1", "c:1"}), seconds(1));
+  ranking.on_members(locations({"a:1", "b:1"}), seconds(0));
+  ranking.on_members(locations({"b:1", "c:1"}), seconds(1));
   auto asked = std::vector<std::string>();
   for (auto i = 0; i < 4; ++i) {
     asked.push_back(ranking.current());
@@ -108,7 +108,7 @@
   EXPECT_EQ(asked, (std::vector<std::string>{"a:1", "b:1", "c:1", "seed:1"}));
 }
 
-TEST(member_ranking, without_any_address_there_is_nobody_to_ask) {
+TEST(member_ranking, is_empty_without_addresses) {
   auto ranking = member_ranking(proxy_with(1), {});
   EXPECT_TRUE(ranking.empty());
   ranking.on_failed(seconds(1));
--- a/tests/core/session/proxy_session_test.cc
+++ b/tests/core/session/proxy_session_test.cc
@@ -1,4 +1,4 @@
-// A daemon's session against control members that are cut off, restarted or behind.
+// A daemon's session with control members that are disconnected, restarted or out of date.
 #include "core/session/proxy_session.h"
 
 #include <gtest/gtest.h>
@@ -43,7 +43,7 @@
   return record;
 }
 
-TEST(ProxySession, TakesAConfigurationAndNeverAnOlderOne) {
+TEST(ProxySession, AcceptsAConfigurationAndIgnoresAnOlderOne) {
   ProxySession proxy = session();
   auto poll = proxy.takePoll(TimePoint(0));
   ASSERT_TRUE(poll);
@@ -57,12 +57,12 @@
   EXPECT_EQ(proxy.trafficIndex(), 5U);
 }
 
-ControlReply difference(std::uint64_t index, const traffic_difference& told) {
+ControlReply difference(std::uint64_t index, const traffic_difference& sent) {
   ProxyNews news;
   news.registry_epoch = 7;
   news.registry_counter = 1;
   news.traffic_index = index;
-  news.traffic_difference = encode(told);
+  news.traffic_difference = encode(sent);
   ControlReply reply;
   reply.authoritative = true;
   reply.proxy_news = encode(news);
@@ -79,7 +79,7 @@
   return decode<ProxyPoll>(poll.request.proxy_poll)->takes_differences;
 }
 
-TEST(ProxySession, ADifferenceThatDoesNotFitIsNotTakenAndTheWholeIsAskedFor) {
+TEST(ProxySession, MismatchedDifferenceIsRejectedAndTheFullConfigurationRequested) {
   ProxySession proxy = session();
   auto poll = proxy.takePoll(seconds(0));
   EXPECT_FALSE(takesDifferences(*poll));
@@ -104,7 +104,7 @@
   EXPECT_EQ(proxy.traffic().number, 7U);
 }
 
-TEST(ProxySession, AnAnswerWithoutAuthorityGivesNoConfigurationAndMovesOn) {
+TEST(ProxySession, NonAuthoritativeAnswerGivesNoConfigurationAndSwitchesMember) {
   ProxySession proxy = session();
   const auto first = proxy.takePoll(TimePoint(0));
   ASSERT_TRUE(first);
@@ -116,7 +116,7 @@
   EXPECT_NE(second->address, first->address);
 }
 
-TEST(ProxySession, OnlyAConfirmedAnswerIsProofAndAMemberThatGivesNoneIsLeft) {
+TEST(ProxySession, UnconfirmedAnswersProveNothingAndSwitchMember) {
   ProxySessionOptions options;
   options.seeds = {"10.0.0.1:1", "10.0.0.2:1"};
   options.wants_proof = true;
@@ -135,8 +135,8 @@
   EXPECT_NE(poll->address, first);
 }
 
-// What a quorum confirmed is the member's configuration: it proves nothing of one that is older.
-TEST(ProxySession, AConfirmedAnswerThatCannotBeReadIsNoProof) {
+// A quorum confirms the member's configuration. That proves nothing for an older one held here.
+TEST(ProxySession, UnreadableConfirmedAnswerProvesNothing) {
   ProxySession proxy = session();
   ControlReply confirmed = reply(5, true);
   confirmed.quorum_confirmed = true;
@@ -148,7 +148,7 @@
   EXPECT_FALSE(proxy.onReply(poll->poll_id, confirmed, TimePoint(0)));
 }
 
-TEST(ProxySession, GoesOnAskingHoweverManyPollsFail) {
+TEST(ProxySession, KeepsPollingAfterManyFailures) {
   ProxySession proxy = session();
   TimePoint now{0};
   for (int failed = 0; failed < 50; ++failed) {
@@ -162,7 +162,7 @@
   }
 }
 
-TEST(ProxySession, AChangedServerIsToldWithoutWaitingForTheHeldPoll) {
+TEST(ProxySession, OwnRecordChangeIsSentDuringAHeldPoll) {
   ProxySession proxy = session();
   const auto held = proxy.takePoll(TimePoint(0));
   ASSERT_TRUE(held);
@@ -170,13 +170,13 @@
   proxy.setOwnRecord(record("10.0.0.5:1"));
   const auto next = proxy.takePoll(milliseconds(1));
   ASSERT_TRUE(next);
-  const auto told = decode<ProxyPoll>(next->request.proxy_poll);
-  ASSERT_TRUE(told);
-  EXPECT_TRUE(told->has_self);
-  EXPECT_EQ(told->self.server_incarnation, "i");
+  const auto sent = decode<ProxyPoll>(next->request.proxy_poll);
+  ASSERT_TRUE(sent);
+  EXPECT_TRUE(sent->has_self);
+  EXPECT_EQ(sent->self.server_incarnation, "i");
 }
 
-TEST(ProxySession, ARecordOfAFormerProcessWithAHigherNumberIsOutdone) {
+TEST(ProxySession, OwnRecordSupersedesThatOfAFormerProcess) {
   ProxySession proxy = session(10);
   proxy.setOwnRecord(record("10.0.0.5:1"));
   const auto poll = proxy.takePoll(TimePoint(0));
@@ -188,10 +188,10 @@
   EXPECT_TRUE(proxy.takeInstances().empty());
 }
 
-/// A control member that leads alone.
-class LoneMember {
+/// The leader of a control group with a single member.
+class SingleMember {
  public:
-  LoneMember() : core_(options(), RaftRecovery{}, TimePoint(0)) {
+  SingleMember() : core_(options(), RaftRecovery{}, TimePoint(0)) {
     ControlRequest bootstrap;
     bootstrap.type = ControlRequestType::kBootstrap;
     core_.onRequest(1, bootstrap, now_);
@@ -244,8 +244,8 @@
   return request;
 }
 
-TEST(ControlMember, HeldPollsAreAnsweredByAChangeAndByNewServers) {
-  LoneMember member;
+TEST(ControlMember, HeldPollsAreAnsweredOnNewConfigurationsAndServers) {
+  SingleMember member;
   ControlRequest request;
   request.type = ControlRequestType::kProxyPoll;
   ProxyPoll poll;
@@ -277,9 +277,10 @@
   EXPECT_EQ(news->instances.front().value.proxy_address, "10.0.0.6:1");
 }
 
-// A member applies its log before it serves: hundreds of changes must not lengthen its start.
-TEST(ControlMember, ALogOfWholeConfigurationsIsReplacedByASnapshot) {
-  LoneMember member;
+// A member applies its log before it serves requests. Guards against a start delayed by hundreds of
+// changes in the log.
+TEST(ControlMember, SnapshotReplacesALogOfLargeConfigurations) {
+  SingleMember member;
   const std::string text(100'000, 'x');
   for (std::uint64_t number = 1; number <= 100; ++number) {
     member.ask(number, replaceTraffic(number - 1, number, text));
@@ -287,7 +288,7 @@
   }
 }
 
-TEST(ControlMember, ADaemonWithoutAConfigurationWaitsForTheLeader) {
+TEST(ControlMember, PollWithoutAConfigurationWaitsForTheLeader) {
   ControlOptions options;
   options.raft.id = 2;
   ControlCore follower(options, RaftRecovery{}, TimePoint(0));
@@ -301,10 +302,10 @@
   poll.traffic_index = 5;
   request.proxy_poll = encode(poll);
   follower.onRequest(2, request, TimePoint(0));
-  const ControlWork told = follower.take(TimePoint(0));
-  ASSERT_EQ(told.answers.size(), 1U);
-  EXPECT_EQ(told.answers.front().token, 2U);
-  EXPECT_FALSE(told.answers.front().reply.authoritative);
+  const ControlWork sent = follower.take(TimePoint(0));
+  ASSERT_EQ(sent.answers.size(), 1U);
+  EXPECT_EQ(sent.answers.front().token, 2U);
+  EXPECT_FALSE(sent.answers.front().reply.authoritative);
   follower.tick(milliseconds(300), 0);
   EXPECT_EQ(follower.take(milliseconds(300)).answers.size(), 1U);
 }
