--- a/core/admission/isolation_rule.cc
+++ b/core/admission/isolation_rule.cc
@@ -24,7 +24,7 @@
                    return dispatch_mode(
                        dispatch_isolated{s.crashes == 1 ? suspicion::light : suspicion::heavy});
                  },
-                 [&](const on_trial&) {
+                 [&](const quarantined&) {
                    return has_trial ? dispatch_mode(dispatch_isolated{suspicion::heavy})
                                     : dispatch_mode(dispatch_elsewhere{});
                  },
