--- a/daemon/proxy/crash_guard.cc
+++ b/daemon/proxy/crash_guard.cc
@@ -11,11 +11,11 @@
 namespace ramppond {
 namespace {
 
-// After a crash the ends of all connections are read within milliseconds; when some
-// still stand after the last check the server lives. Fewer or sooner, and a crash
-// passes for a lost connection; later, and its report is late by as much.
+// After a crash, the ends of all connections are read within milliseconds; if some are still open
+// after the last check, the server is alive. With fewer or more frequent checks, a crash passes for
+// a lost connection; with longer intervals, its report is delayed accordingly.
 constexpr auto check_interval = milliseconds(2);
-constexpr auto most_checks = std::uint32_t(5);
+constexpr auto max_connection_checks = std::uint32_t(5);
 
 auto join(const std::vector<request_digest>& digests) -> std::string {
   auto text = std::string();
@@ -53,7 +53,7 @@
   return this->ledger.judge(digest, EventLoop::now());
 }
 
-auto crash_guard::has_trial(const request_digest& digest) const -> bool {
+auto crash_guard::may_host_trial(const request_digest& digest) const -> bool {
   const auto& service = this->context.own.reports().heartbeat().service;
   return is_trial_place(digest, this->context.settings.peer_address.toString(),
                         this->context.directory.proxiesBeside(service));
@@ -81,14 +81,14 @@
   }
 }
 
-// A connection is made only when none stands: one that does shows that the server lives.
+// Probes the server only if no connection to it is open: an open one shows that it is alive.
 void crash_guard::check_server() {
   if (!this->ledger.is_pending() || this->probe != nullptr) {
     return;
   }
   if (this->context.own.connections().established() > 0) {
     this->checks += 1;
-    if (this->checks < most_checks) {
+    if (this->checks < max_connection_checks) {
       this->check_timer.after(check_interval, [this] { this->check_server(); });
     }
     return;
@@ -109,14 +109,14 @@
           this->context.own.reports().heartbeat().incarnation());
       break;
     case probe_answer::unknown:
-      break;  // its next instance or a later loss will show it
+      break;  // shown by the server's next incarnation or a later loss
   }
 }
 
 void crash_guard::on_server_gone(const std::string& incarnation) {
   const auto now = EventLoop::now();
   if (this->context.own.reports().announcedLeave(incarnation)) {
-    this->ledger.on_alive(now);  // a planned stop
+    this->ledger.on_alive(now);  // a planned stop, not a crash
     return;
   }
   const auto report = this->ledger.on_server_gone({incarnation, this->server().service}, now);
@@ -133,7 +133,7 @@
   this->report_new_records();
 }
 
-void crash_guard::take(const std::vector<instance_evidence>& records) {
+void crash_guard::merge_records(const std::vector<instance_evidence>& records) {
   if (!records.empty()) {
     this->ledger.take(records, this->server(), EventLoop::now());
     this->report_new_records();
@@ -150,7 +150,7 @@
   this->log_blocks();
 }
 
-// A block may clear requests that wait.
+// Re-evaluates the waiting requests after a block, since a block may clear some of them.
 void crash_guard::log_blocks() {
   const auto blocks = this->ledger.take_blocks();
   for (const auto& block : blocks) {
@@ -166,9 +166,9 @@
 }
 
 auto crash_guard::enter(const std::shared_ptr<InboundRequest>& request,
-                        isolation_queue::request_id id, TimePoint give_up) -> bool {
+                        isolation_queue::request_id id, TimePoint isolation_deadline) -> bool {
   this->context.counters.isolated += 1;
-  if (this->isolation.enter(id, give_up)) {
+  if (this->isolation.enter(id, isolation_deadline)) {
     return true;
   }
   this->waiting[id] = request;
@@ -176,7 +176,7 @@
   return false;
 }
 
-// Those that wait go on in a later turn of the loop: the caller is still ending.
+// Waiting requests resume in a later iteration of the loop, because the caller is still ending.
 void crash_guard::leave(isolation_queue::request_id id) {
   this->isolation.leave(id);
   this->waiting.erase(id);
@@ -186,7 +186,7 @@
 void crash_guard::schedule_resume() {
   const auto next = this->isolation.next_expiry();
   if (!next) {
-    return;  // nobody waits
+    return;  // no request is waiting
   }
   const auto wait = this->isolation.is_free() ? Duration(0) : *next - EventLoop::now();
   this->resume_timer.after(std::max(wait, Duration(0)), [this] { this->resume_waiting(); });
@@ -212,12 +212,13 @@
       this->isolation.leave(*id);
       continue;
     }
-    request->onAlone();
+    request->onIsolated();
   }
   this->schedule_resume();
 }
 
-// Asks anew how each request that waits may run: it may be cleared or blocked since.
+// Re-evaluates each waiting request, which may have been cleared or blocked since it started to
+// wait.
 void crash_guard::reconsider_waiting() {
   const auto before = std::exchange(this->waiting, {});
   for (const auto& [id, weak] : before) {
--- a/daemon/proxy/crash_guard.h
+++ b/daemon/proxy/crash_guard.h
@@ -1,12 +1,11 @@
-// Keeps requests that crash servers away from the server beside this proxy.
+// Keeps requests that crash servers away from the local server.
 //
-// Owns the ledger of crashes (the rules are listed in
-// core/crash_evidence/crash_attribution.h), the queue of suspected requests that
-// wait to run isolated, and the probe of a server whose connections are all gone.
-// Relies on the proxy to say how each request ends at the server, and to carry
-// crash records to and from the coordinator. Writes the log events server_ended
-// (a crash) and request_barred (a block), and the counters of crashes and blocks.
-// Why it works so: docs/design/0012. On the thread of the event loop.
+// Owns the ledger of crashes (rules in core/crash_evidence/crash_attribution.h), the queue of
+// suspected requests that wait to run in isolation, and the probe of a server whose connections are
+// all gone. Relies on the proxy to report how each request ends at the server, and to carry crash
+// records to and from the coordinator. Writes the log events server_ended (a crash) and
+// request_barred (a block), and the counters of crashes and blocks. See docs/design/0012 for the
+// rationale. Used on the event loop's thread.
 #pragma once
 
 #include <functional>
@@ -32,34 +31,34 @@
   crash_guard(const crash_guard&) = delete;
   auto operator=(const crash_guard&) -> crash_guard& = delete;
 
-  /// Takes records of proxies beside other servers of the service.
-  void take(const std::vector<instance_evidence>& records);
-  /// Called with each own record that is new or has changed.
+  /// Merges records of the proxies beside other servers of the service.
+  void merge_records(const std::vector<instance_evidence>& records);
+  /// Called with each record of this proxy that is new or has changed.
   std::function<void(const instance_evidence&)> on_evidence;
 
-  /// How a request may run at the server beside this proxy.
+  /// How a request may run at the local server.
   [[nodiscard]] auto judge(const request_digest& digest) const -> suspicion_state;
-  /// Whether a request on trial may run at this server.
-  [[nodiscard]] auto has_trial(const request_digest& digest) const -> bool;
+  /// Whether a request on trial may run at the local server.
+  [[nodiscard]] auto may_host_trial(const request_digest& digest) const -> bool;
   /// Another proxy reports that a server was lost while it ran this request.
   void on_reported_crash(const request_digest& digest);
 
   /// The server's connection ended before the answer to a request did.
   void on_lost(const server_run& run);
-  /// Nobody waits for a request any more while the server is at work on it.
+  /// A request was abandoned while the server was running it.
   void on_abandoned(const server_run& run);
-  /// The server answered a request that began at `begun`, by a success or a
-  /// failure that is the client's if `succeeded`.
+  /// The server answered a request that began at `begun`. `succeeded` is also true for a failure
+  /// caused by the client.
   void on_answered(const request_digest& digest, TimePoint begun, bool succeeded);
-  /// `incarnation` is gone: its address refuses connections and none stands, or
-  /// another instance is there. A crash, if it had not announced a planned stop.
+  /// `incarnation` is gone: its address refuses connections and none is open, or another
+  /// incarnation runs there. This is a crash unless a planned stop was announced.
   void on_server_gone(const std::string& incarnation);
 
-  /// Whether a suspected request may go on at once; otherwise its onAlone() or,
-  /// at `give_up`, its onIsolationTimeout() follows.
+  /// Returns whether a suspected request may proceed at once. Otherwise its onIsolated() is called
+  /// later or, at `isolation_deadline`, its onIsolationTimeout().
   auto enter(const std::shared_ptr<InboundRequest>& request, isolation_queue::request_id id,
-             TimePoint give_up) -> bool;
-  /// It has ended or waits no longer; without effect on one that never entered.
+             TimePoint isolation_deadline) -> bool;
+  /// The request ended or no longer waits. Has no effect on a request that never entered.
   void leave(isolation_queue::request_id id);
 
  private:
@@ -79,7 +78,7 @@
   std::shared_ptr<server_probe> probe;
   LoopTimer check_timer;
   LoopTimer resume_timer;
-  std::uint32_t checks = 0;  // of the connections, since the last loss
+  std::uint32_t checks = 0;  // connection checks since the last loss
 };
 
 }  // namespace ramppond
--- a/daemon/proxy/forwarded_answer.cc
+++ b/daemon/proxy/forwarded_answer.cc
@@ -1,4 +1,4 @@
-// What comes back to a forwarded request: the answer of its server, or one of the proxies.
+// Response handling of a forwarded request: relays the server's answer, or answers in its place.
 #include "core/answers/retry_after.h"
 #include "daemon/proxy/forwarded_request.h"
 #include "daemon/proxy/peer_headers.h"
@@ -7,9 +7,10 @@
 namespace ramppond {
 namespace {
 
-// Answers up to this size leave when they are whole, so that one that breaks off can be retried.
-// With less, common pages could not be; with more, many answers at once fill the memory.
-constexpr std::size_t kHeldAnswerBytes = 49152;
+// Maximum size of an answer that is buffered whole before it is relayed, so that one whose
+// connection breaks can still be retried. Below this size common pages could no longer be retried;
+// above it, many concurrent answers would fill the memory.
+constexpr std::size_t kMaxBufferedAnswerBytes = 49152;
 
 std::uint64_t* counterOf(own_answer_counter counter, proxy_counters& counters) {
   switch (counter) {
@@ -38,7 +39,7 @@
   counters.failed += form.promise == run_promise::may_have_run ? 1 : 0;
 }
 
-attempt_failure failureOf(ClientFailure failure) {
+attempt_failure toAttemptFailure(ClientFailure failure) {
   switch (failure) {
     case ClientFailure::kNoSocket:
       return attempt_failure::no_socket;
@@ -52,21 +53,21 @@
 
 }  // namespace
 
-void ForwardedRequest::noteLoad(const HttpHead& head) {
+void ForwardedRequest::recordLoad(const HttpHead& head) {
   const TimePoint now = EventLoop::now();
   auto load = parseLoad(head.find(kPeerLoad));
   if (!load || attempt_->is_superseded()) {
     return;
   }
   load->rate = parseRate(head.find(kPeerRate));
-  context_.directory.onLoad(attempt_->instance, terms_.route->name, *load, now);
+  context_.directory.onLoad(attempt_->instance, params_.route->name, *load, now);
   auto levels = parseOverload(head.find(kPeerOverload));
-  levels = highest_levels(std::move(levels), {{terms_.service, load->shed}});
-  context_.overload.on_answer(terms_.route->name, levels, now);
+  levels = highest_levels(std::move(levels), {{params_.service, load->shed}});
+  context_.overload.on_answer(params_.route->name, levels, now);
 }
 
-void ForwardedRequest::notePeerAnswer(const peer_answer& answer) {
-  history_.note(answer);
+void ForwardedRequest::recordPeerAnswer(const peer_answer& answer) {
+  history_.record(answer);
   if (answer.outcome == peer_outcome::busy) {
     context_.directory.onRefused(attempt_->instance, EventLoop::now());
   } else if (answer.outcome == peer_outcome::fenced) {
@@ -79,33 +80,33 @@
     return;
   }
   context_.directory.onReached(attempt_->instance, EventLoop::now());
-  noteLoad(head);
-  auto own = read_peer_answer(head);
-  if (own) {
-    notePeerAnswer(*own);
+  recordLoad(head);
+  auto peer_reply = parse_peer_answer(head);
+  if (peer_reply) {
+    recordPeerAnswer(*peer_reply);
   } else if (context_.api.parseLeaving(head.all(context_.api.headers().server_leaving))) {
     context_.directory.onLeaving(attempt_->instance, attempt_->incarnation);
   }
-  if (attempt_->is_held_back()) {
-    attempt_->upstream->finishBody();  // Refused: the connection can be used again.
+  if (attempt_->awaits_confirmation()) {
+    attempt_->upstream->finishBody();  // Refused: ends the body so the connection can be reused.
   }
-  if (own) {
-    attempt_->answer = std::move(*own);
+  if (peer_reply) {
+    attempt_->answer = std::move(*peer_reply);
     return;
   }
   head.removeHopByHop();
   removePeerHeaders(head);
-  attempt_->answer = held_answer{std::move(head), {}};
+  attempt_->answer = buffered_answer{std::move(head), {}};
 }
 
 void ForwardedRequest::onResponseBody(std::string_view data) {
   if (!attempt_ || attempt_->has<peer_answer>()) {
     return;
   }
-  if (auto* held = std::get_if<held_answer>(&attempt_->answer)) {
-    held->body.append(data);
-    if (held->body.size() > kHeldAnswerBytes) {
-      releaseAnswer();
+  if (auto* buffered = std::get_if<buffered_answer>(&attempt_->answer)) {
+    buffered->body.append(data);
+    if (buffered->body.size() > kMaxBufferedAnswerBytes) {
+      startStreamingAnswer();
     }
     return;
   }
@@ -115,12 +116,12 @@
   }
 }
 
-void ForwardedRequest::releaseAnswer() {
-  const held_answer held = std::move(std::get<held_answer>(attempt_->answer));
-  attempt_->answer = passed_answer{held.head.status};
+void ForwardedRequest::startStreamingAnswer() {
+  const buffered_answer buffered = std::move(std::get<buffered_answer>(attempt_->answer));
+  attempt_->answer = streaming_answer{buffered.head.status};
   state_ = State::kAnswering;
-  exchange_->sendHead(held.head, framingOf(held.head));
-  exchange_->sendBody(held.body);
+  exchange_->sendHead(buffered.head, framingOf(buffered.head));
+  exchange_->sendBody(buffered.body);
 }
 
 void ForwardedRequest::onResponseDrained() {
@@ -134,16 +135,16 @@
     return;
   }
   const auto self = shared_from_this();
-  if (const auto* own = std::get_if<peer_answer>(&attempt_->answer)) {
-    const std::string reason = own->reason;
-    afterAttempt(end_of(own->outcome), reason);
+  if (const auto* peer_reply = std::get_if<peer_answer>(&attempt_->answer)) {
+    const std::string reason = peer_reply->reason;
+    onAttemptEnded(end_of(peer_reply->outcome), reason);
     return;
   }
   context_.counters.answered += 1;
-  if (attempt_->has<held_answer>()) {
-    releaseAnswer();
+  if (attempt_->has<buffered_answer>()) {
+    startStreamingAnswer();
   }
-  const auto* passed = std::get_if<passed_answer>(&attempt_->answer);
+  const auto* passed = std::get_if<streaming_answer>(&attempt_->answer);
   if (passed != nullptr && passed->status >= kServerError) {
     context_.last_failed_forward = EventLoop::now();
   }
@@ -157,24 +158,24 @@
   }
   const auto self = shared_from_this();
   if (state_ == State::kAnswering) {
-    breakOff();
+    abortAnswer();
     return;
   }
-  const attempt_failure how = failureOf(failure);
+  const attempt_failure how = toAttemptFailure(failure);
   if (how == attempt_failure::not_connected || failure == ClientFailure::kNoAnswer) {
     context_.directory.onUnreachable(attempt_->instance, EventLoop::now());
   }
-  afterFailure(how);
+  onAttemptFailed(how);
 }
 
 std::optional<Duration> ForwardedRequest::retryAfter(const own_answer& answer) {
-  const Duration goal = terms_.route == nullptr ? Duration(0) : terms_.route->goal;
+  const Duration goal = params_.route == nullptr ? Duration(0) : params_.route->goal;
   const retry_after_verdict verdict = retry_after_of(answer, goal);
   if (const auto* stated = std::get_if<stated_retry_after>(&verdict)) {
     return stated->time;
   }
-  if (const auto* drawn = std::get_if<spread_from>(&verdict)) {
-    return spread_retry_after(drawn->least, {context_.random.uniform()});
+  if (const auto* spread = std::get_if<spread_from>(&verdict)) {
+    return spread_retry_after(spread->least, {context_.random.uniform()});
   }
   return std::nullopt;
 }
@@ -189,12 +190,12 @@
             {"digest", digest_},
             {"status", std::to_string(form_of(answer.kind).status)},
             {"reason", reason_of(answer)},
-            {"route", terms_.route == nullptr ? "" : terms_.route->name},
-            {"service", terms_.service},
-            {"tenant", terms_.tenant == nullptr ? "" : terms_.tenant->name},
-            {"held_us", std::to_string((now - terms_.received).count())},
-            {"left_us", std::to_string((terms_.deadline - now).count())},
-            {"attempts", std::to_string(history_.tried.size())},
+            {"route", params_.route == nullptr ? "" : params_.route->name},
+            {"service", params_.service},
+            {"tenant", params_.tenant == nullptr ? "" : params_.tenant->name},
+            {"held_us", std::to_string((now - params_.received).count())},
+            {"left_us", std::to_string((params_.deadline - now).count())},
+            {"attempts", std::to_string(history_.tried_addresses.size())},
             {"arrivals", std::to_string(history_.arrivals)},
             {"peer", last_peer}});
 }
@@ -208,22 +209,23 @@
   }
   done();
   logOwnAnswer(answer, last_peer);
-  noteOwnAnswer(form_of(answer.kind));
-  respondOwn(answer, retry_after);
+  recordOwnAnswer(form_of(answer.kind));
+  sendOwnAnswer(answer, retry_after);
 }
 
-void ForwardedRequest::noteOwnAnswer(const own_answer_form& form) {
+void ForwardedRequest::recordOwnAnswer(const own_answer_form& form) {
   const TimePoint now = EventLoop::now();
   countOwnAnswer(form, context_.counters);
   if (form.promise != run_promise::rejected) {
     context_.last_failed_forward = now;
   }
-  if (terms_.counted_by_quota && form.promise == run_promise::not_run) {
-    context_.quotas.on_not_run(terms_.tenant->name, now);
+  if (params_.counted_by_quota && form.promise == run_promise::not_run) {
+    context_.quotas.on_not_run(params_.tenant->name, now);
   }
 }
 
-void ForwardedRequest::respondOwn(const own_answer& answer, std::optional<Duration> retry_after) {
+void ForwardedRequest::sendOwnAnswer(const own_answer& answer,
+                                     std::optional<Duration> retry_after) {
   if (answer.kind == own_answer_kind::body_too_large) {
     exchange_->closeAfterwards();  // The rest of the body is not read.
   }
--- a/daemon/proxy/forwarded_attempt.h
+++ b/daemon/proxy/forwarded_attempt.h
@@ -1,8 +1,8 @@
-// One attempt to have a forwarded request run: the server that was chosen, what is under way to the
-// proxy beside it, and what has come back. Ends with the attempt.
+// One attempt to have a forwarded request run by a server: the chosen instance, the exchange with
+// the proxy beside it, and the answer so far.
 //
-// Belongs to a ForwardedRequest, which tells the directory of its begin and end. On the thread of
-// the event loop.
+// Belongs to a ForwardedRequest, which tells the directory when the attempt starts and ends. Used
+// on the event loop's thread.
 #pragma once
 
 #include <cstdint>
@@ -16,62 +16,66 @@
 #include "core/retries/attempt_end.h"
 #include "daemon/proxy/forwarded_body.h"
 #include "daemon/proxy/forwarded_outcome.h"
-#include "daemon/proxy/forwarded_terms.h"
+#include "daemon/proxy/forwarded_params.h"
 #include "net/stream/http_client.h"
 
 namespace ramppond {
 
-/// What earlier attempts at a request have left for the next one.
+/// What earlier attempts at a request established that later attempts depend on.
 struct forwarded_history {
-  std::set<std::string> tried;  // addresses of proxies
-  std::uint32_t arrivals = 0;   // attempts that a server received
-  std::uint32_t lost_runs = 0;  // servers that were lost while it ran there
-  bool may_have_run = false;    // in some attempt
+  std::set<std::string> tried_addresses;  // proxy addresses of earlier attempts
+  std::uint32_t arrivals = 0;             // attempts that reached a server
+  std::uint32_t lost_runs = 0;            // servers lost while the request ran there
+  bool may_have_run = false;              // in at least one attempt
   std::optional<Duration> blocked_for;
 
-  void note(attempt_end end);
-  void note(const peer_answer& answer);
+  void record(attempt_end end);
+  void record(const peer_answer& answer);
 };
 
-/// Nothing has come back.
+/// No part of an answer has arrived.
 struct no_answer_yet {};
-/// The server's answer. It leaves when it is whole, so that one that breaks off can be retried.
-struct held_answer {
+/// The server's answer while it is buffered. It is relayed once complete, so that an answer whose
+/// connection breaks can still be retried.
+struct buffered_answer {
   HttpHead head;
   std::string body;
 };
-/// The server's answer, with a head that has been passed on: no other answer can be given.
-struct passed_answer {
+/// The server's answer after its head was relayed to the client: no other answer can be given.
+struct streaming_answer {
   int status;
 };
-using attempt_answer = std::variant<no_answer_yet, peer_answer, held_answer, passed_answer>;
+using attempt_answer = std::variant<no_answer_yet, peer_answer, buffered_answer, streaming_answer>;
 
 class forwarded_attempt {
  public:
-  /// Whether the peer has the end of the request, without which no server runs it.
-  enum class request_end : std::uint8_t {
-    passed_on,  // goes out as it comes from the client
-    held_back,  // until the peer confirms that there is room
-    confirmed,  // sent after that
+  /// Whether the peer has the end of the request body. No server runs a request without it.
+  enum class body_end : std::uint8_t {
+    unrestricted,  // the body is sent as it arrives
+    withheld,      // the last chunk waits for the peer's confirmation
+    confirmed,     // the last chunk was sent after the confirmation
   };
 
   forwarded_attempt(EventLoop& loop, KnownInstance& instance)
       : instance(instance), incarnation(instance.record.server_incarnation), confirm_timer(loop) {}
 
-  /// Hands the request over. Its end is held back if it must not run twice and its body is whole.
+  /// Sends the request to the peer. If it must not run twice and its body is complete, its last
+  /// chunk is withheld until confirm().
   void send(HttpClientPool& peer, HttpHead head, const forwarded_body& body, bool may_run_twice,
             const std::shared_ptr<ClientHandler>& handler);
-  /// The peer has room: the end of the request follows.
+  /// Sends the withheld last chunk; called when the peer has confirmed that there is room.
   void confirm();
 
-  /// Whether another incarnation has taken the place of the one that the request was sent to.
+  /// Whether the instance has been replaced by another incarnation since the request was sent.
   [[nodiscard]] auto is_superseded() const -> bool {
     return this->instance.record.server_incarnation != this->incarnation;
   }
-  [[nodiscard]] auto is_held_back() const -> bool { return this->end == request_end::held_back; }
-  /// Whether a server can have received the whole request.
+  [[nodiscard]] auto awaits_confirmation() const -> bool {
+    return this->end_state == body_end::withheld;
+  }
+  /// Whether a server may have received the complete request.
   [[nodiscard]] auto may_have_arrived() const -> bool {
-    return this->upstream->sent() && !this->is_held_back();
+    return this->upstream->sent() && !this->awaits_confirmation();
   }
   template <class Answer>
   [[nodiscard]] auto has() const -> bool {
@@ -82,23 +86,23 @@
   std::string incarnation;  // of the server that the request was sent to
   std::shared_ptr<ClientExchange> upstream;
   attempt_answer answer;
-  LoopTimer confirm_timer;  // runs while the end is held back
+  LoopTimer confirm_timer;  // runs while the last chunk is withheld
 
  private:
-  request_end end = request_end::passed_on;
+  body_end end_state = body_end::unrestricted;
 };
 
-/// The head of an attempt as the proxy beside `instance` takes it.
-struct attempt_head {
+/// Input to head_for_peer().
+struct attempt_head_parts {
   const HttpHead& request;
-  const forwarded_terms& terms;
+  const forwarded_params& params;
   const forwarded_history& history;
   const KnownInstance& instance;
   const std::string& digest;
-  const std::string& deadline_field;  // name of the field
-  Duration waited{0};                 // since the request came
-  Duration time_left{0};              // until its deadline
+  const std::string& deadline_field;  // name of the deadline header
+  Duration waited{0};                 // since the request was received
+  Duration time_left{0};              // until the deadline
 };
-auto head_for_peer(const attempt_head& parts) -> HttpHead;
+auto head_for_peer(const attempt_head_parts& parts) -> HttpHead;
 
 }  // namespace ramppond
--- a/daemon/proxy/forwarded_body.h
+++ b/daemon/proxy/forwarded_body.h
@@ -1,7 +1,8 @@
-// The body of a forwarded request, as far as it must be held to be sent to a server.
+// The part of a forwarded request's body that must be buffered to be sent to a server.
 //
-// A short body is held whole, so that each attempt can send it. A longer one is passed on by the
-// first attempt while the rest still arrives; its parts are held only until that attempt begins.
+// A short body is buffered whole, so that each attempt can send it. A longer body is streamed by
+// the first attempt while the rest arrives, and its beginning is buffered only until that attempt
+// starts.
 #pragma once
 
 #include <cstddef>
@@ -11,44 +12,48 @@
 
 namespace ramppond {
 
-/// Bodies below this size are held. Above it a proxy with many uploads would hold them all in
-/// memory; below it, common forms could not be sent to a second server.
-constexpr auto max_held_body = std::size_t(65536);
+/// Bodies below this size are buffered whole. With a larger limit, a proxy with many uploads would
+/// hold them all in memory; with a smaller one, common forms could not be sent to a second server.
+constexpr auto max_buffered_body_bytes = std::size_t(65536);
 
 class forwarded_body {
  public:
   enum class state : std::uint8_t {
-    arriving,   // held so far; an attempt waits for the rest
-    held,       // all of it has come and is held
-    streaming,  // too long to be held; the rest is still to come
-    streamed,   // too long to be held; all of it has come
+    receiving,  // buffered so far; an attempt waits for the rest
+    buffered,   // received whole and buffered
+    streaming,  // too long to buffer; more is to come
+    streamed,   // too long to buffer; received whole
   };
 
-  /// Bytes that came so far, held or not.
-  [[nodiscard]] auto size() const -> std::uint64_t { return this->received; }
-  void count(std::size_t bytes) { this->received += bytes; }
+  /// Bytes received so far, whether still buffered or not.
+  [[nodiscard]] auto size() const -> std::uint64_t { return this->received_bytes; }
+  void count_received(std::size_t bytes) { this->received_bytes += bytes; }
 
-  void append(std::string_view data) { this->kept.append(data); }
-  [[nodiscard]] auto exceeds_hold() const -> bool { return this->kept.size() >= max_held_body; }
-  /// It is not held for further attempts any more.
-  void stream() { this->now = this->ended() ? state::streamed : state::streaming; }
-  void end() { this->now = this->is_streamed() ? state::streamed : state::held; }
-  /// What was held has been sent.
-  void release() { std::string().swap(this->kept); }
+  void append(std::string_view data) { this->buffer.append(data); }
+  [[nodiscard]] auto exceeds_buffer_limit() const -> bool {
+    return this->buffer.size() >= max_buffered_body_bytes;
+  }
+  /// Stops buffering for later attempts: the body is streamed by the current one.
+  void start_streaming() {
+    this->current_state = this->ended() ? state::streamed : state::streaming;
+  }
+  void end() { this->current_state = this->is_streamed() ? state::streamed : state::buffered; }
+  /// Drops the buffered bytes, which have been sent.
+  void release_buffer() { std::string().swap(this->buffer); }
 
-  /// What is held: what an attempt begins with.
-  [[nodiscard]] auto bytes() const -> const std::string& { return this->kept; }
+  /// The buffered bytes, which an attempt sends first.
+  [[nodiscard]] auto bytes() const -> const std::string& { return this->buffer; }
   [[nodiscard]] auto ended() const -> bool {
-    return this->now == state::held || this->now == state::streamed;
+    return this->current_state == state::buffered || this->current_state == state::streamed;
   }
   [[nodiscard]] auto is_streamed() const -> bool {
-    return this->now == state::streaming || this->now == state::streamed;
+    return this->current_state == state::streaming || this->current_state == state::streamed;
   }
 
  private:
-  state now = state::arriving;
-  std::string kept;
-  std::uint64_t received = 0;
+  state current_state = state::receiving;
+  std::string buffer;
+  std::uint64_t received_bytes = 0;
 };
 
 }  // namespace ramppond
--- a/daemon/proxy/forwarded_outcome.cc
+++ b/daemon/proxy/forwarded_outcome.cc
@@ -8,12 +8,12 @@
 namespace ramppond {
 namespace {
 
-struct outcome_word {
-  std::string_view word;
+struct outcome_token {
+  std::string_view token;
   peer_outcome outcome;
 };
 
-constexpr std::array<outcome_word, 6> words = {{
+constexpr std::array<outcome_token, 6> outcome_tokens = {{
     {kOutcomeBusy, peer_outcome::busy},
     {kOutcomeFenced, peer_outcome::fenced},
     {kOutcomeElsewhere, peer_outcome::elsewhere},
@@ -22,9 +22,9 @@
     {kOutcomeUnknown, peer_outcome::unknown},
 }};
 
-auto outcome_of(std::string_view word) -> peer_outcome {
-  for (const auto& known : words) {
-    if (known.word == word) {
+auto outcome_of(std::string_view token) -> peer_outcome {
+  for (const auto& known : outcome_tokens) {
+    if (known.token == token) {
       return known.outcome;
     }
   }
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-auto read_peer_answer(const HttpHead& head) -> std::optional<peer_answer> {
+auto parse_peer_answer(const HttpHead& head) -> std::optional<peer_answer> {
   const auto* text = head.find(kPeerOutcome);
   if (text == nullptr) {
     return std::nullopt;
--- a/daemon/proxy/forwarded_outcome.h
+++ b/daemon/proxy/forwarded_outcome.h
@@ -1,6 +1,6 @@
-// An answer that the proxy beside a server made itself, in place of that server.
+// An answer that the proxy beside a server gave in place of that server.
 //
-// Decodes its header fields (daemon/proxy/peer_headers.h) into a closed list of outcomes.
+// Decodes its header fields (daemon/proxy/peer_headers.h) into a closed set of outcomes.
 #pragma once
 
 #include <cstdint>
@@ -14,24 +14,25 @@
 namespace ramppond {
 
 enum class peer_outcome : std::uint8_t {
-  busy,       ///< There is no room at its server.
-  fenced,     ///< That instance takes no requests any more.
-  elsewhere,  ///< Not at this server, for what is known of the request.
-  blocked,    ///< At no server: it crashes those that run it.
-  not_run,    ///< The server received it and says that it did not run.
-  unknown,    ///< It may have run; the server or its answer was lost. Also for unknown words.
+  busy,       ///< The server has no room.
+  fenced,     ///< The instance no longer accepts requests.
+  elsewhere,  ///< Not run at this server because of what is known of the request.
+  blocked,    ///< Not run at any server: the request crashes those that run it.
+  not_run,    ///< The server received it and declared that it did not run.
+  unknown,    ///< It may have run; the server or its answer was lost. Also for unknown outcome
+              ///< tokens.
 };
 
 struct peer_answer {
   peer_outcome outcome = peer_outcome::unknown;
-  std::string reason;                   ///< The outcome and its reason as they came.
-  std::optional<Duration> blocked_for;  ///< With blocked, if it came with a readable time.
+  std::string reason;                   ///< The outcome field as received, reason included.
+  std::optional<Duration> blocked_for;  ///< For `blocked`, if the answer carried a valid time.
 };
 
-/// Nothing if the answer is the server's.
-auto read_peer_answer(const HttpHead& head) -> std::optional<peer_answer>;
+/// Returns std::nullopt if the answer is the server's own.
+auto parse_peer_answer(const HttpHead& head) -> std::optional<peer_answer>;
 
-/// How an attempt ended that was answered so.
+/// The end of an attempt that received this outcome.
 auto end_of(peer_outcome outcome) -> attempt_end;
 
 }  // namespace ramppond
--- a/daemon/proxy/forwarded_terms.cc
+++ b/daemon/proxy/forwarded_params.cc
@@ -1,4 +1,4 @@
-#include "daemon/proxy/forwarded_terms.h"
+#include "daemon/proxy/forwarded_params.h"
 
 #include <algorithm>
 
@@ -10,28 +10,28 @@
 
 namespace ramppond {
 
-auto forwarded_terms::settle(ProxyContext& context, HttpHead& head) -> std::optional<own_answer> {
-  if (auto refusal = this->find_route(context, head)) {
+auto forwarded_params::resolve(ProxyContext& context, HttpHead& head) -> std::optional<own_answer> {
+  if (auto refusal = this->resolve_route(context, head)) {
     return refusal;
   }
-  if (auto refusal = this->find_tenant(context, head)) {
+  if (auto refusal = this->resolve_tenant(context, head)) {
     return refusal;
   }
-  if (auto refusal = this->ask_quota(context)) {
+  if (auto refusal = this->check_quota(context)) {
     return refusal;
   }
-  const auto wanted = parseMilliseconds(head.find(context.api.headers().deadline_ms))
-                          .value_or(this->route->timeout);
-  this->deadline = this->received + std::min(wanted, this->route->timeout);
+  const auto requested_time = parseMilliseconds(head.find(context.api.headers().deadline_ms))
+                                  .value_or(this->route->timeout);
+  this->deadline = this->received + std::min(requested_time, this->route->timeout);
   this->service = chooseService(*this->route, context.random.uniform());
-  return this->shed(context, wanted);
+  return this->shed(context, requested_time);
 }
 
-auto forwarded_terms::patience() const -> Duration {
+auto forwarded_params::patience() const -> Duration {
   return patience_of(this->route->goal, this->is_call);
 }
 
-auto forwarded_terms::find_route(const ProxyContext& context, const HttpHead& head)
+auto forwarded_params::resolve_route(const ProxyContext& context, const HttpHead& head)
     -> std::optional<own_answer> {
   this->traffic = context.traffic;
   if (this->traffic == nullptr) {
@@ -47,7 +47,7 @@
   return std::nullopt;
 }
 
-auto forwarded_terms::find_tenant(ProxyContext& context, HttpHead& head)
+auto forwarded_params::resolve_tenant(ProxyContext& context, HttpHead& head)
     -> std::optional<own_answer> {
   this->rank = this->traffic->ranks.of(nullptr, this->route->priority);
   if (this->traffic->configuration.tenants.empty()) {
@@ -57,15 +57,15 @@
   const auto credential = context.api.parseCredential(head.all(names.credential));
   head.remove(names.credential);
   head.remove(names.tenant);
-  const auto held = context.lease.at(EventLoop::now());
-  const auto found = identify(*this->route, this->traffic->keys, credential, held);
-  if (std::holds_alternative<key_refused>(found)) {
+  const auto lease_state = context.lease.at(EventLoop::now());
+  const auto identity = identify(*this->route, this->traffic->keys, credential, lease_state);
+  if (std::holds_alternative<key_refused>(identity)) {
     return own_answer{own_answer_kind::unknown_key};
   }
-  if (std::holds_alternative<key_unjudged>(found)) {
+  if (std::holds_alternative<key_unjudged>(identity)) {
     return own_answer{own_answer_kind::keys_unjudged};
   }
-  this->tenant = std::get<identified>(found).tenant;
+  this->tenant = std::get<identified>(identity).tenant;
   if (this->tenant != nullptr) {
     head.set(names.tenant, this->tenant->name);
     this->rank = this->traffic->ranks.of(this->tenant, this->route->priority);
@@ -73,7 +73,7 @@
   return std::nullopt;
 }
 
-auto forwarded_terms::ask_quota(ProxyContext& context) -> std::optional<own_answer> {
+auto forwarded_params::check_quota(ProxyContext& context) -> std::optional<own_answer> {
   if (this->tenant == nullptr) {
     return std::nullopt;
   }
@@ -89,23 +89,24 @@
   return answer_beyond_tenant_limit(verdict.retry_after);
 }
 
-auto forwarded_terms::shed(ProxyContext& context, Duration wanted) -> std::optional<own_answer> {
-  this->attributed = context.calls.on_request(this->route->name, this->received + wanted);
+auto forwarded_params::shed(ProxyContext& context, Duration requested_time)
+    -> std::optional<own_answer> {
+  this->attributed = context.calls.on_request(this->route->name, this->received + requested_time);
   this->is_call = is_call_of_server(this->attributed.origin, this->tenant != nullptr);
   if (this->is_call) {
     return std::nullopt;
   }
-  const auto below = context.overload.of(this->route->name, this->received);
-  if (below.empty()) {
+  const auto overloads = context.overload.of(this->route->name, this->received);
+  if (overloads.empty()) {
     return std::nullopt;
   }
   const auto ranks = less_urgent_ranks(this->rank, this->traffic->configuration.routes,
                                        this->traffic->ranks, context.calls);
-  const auto* refusing = refusing_overload(below, ranks, context.random);
-  if (refusing == nullptr) {
+  const auto* overload = refusing_overload(overloads, ranks, context.random);
+  if (overload == nullptr) {
     return std::nullopt;
   }
-  return answer_overload_below(refusing->service);
+  return answer_overload_below(overload->service);
 }
 
 }  // namespace ramppond
--- a/daemon/proxy/forwarded_request.cc
+++ b/daemon/proxy/forwarded_request.cc
@@ -21,19 +21,19 @@
 
 void ForwardedRequest::start() {
   context_.counters.requests += 1;
-  terms_.received = EventLoop::now();
+  params_.received = EventLoop::now();
   HttpHead& head = exchange_->mutableRequest();
-  if (const auto refusal = terms_.settle(context_, head)) {
+  if (const auto refusal = params_.resolve(context_, head)) {
     answerOwn(*refusal);
     return;
   }
   head.removeHopByHop();
   removePeerHeaders(head);
   head.set(context_.api.headers().caller_service, context_.settings.service);
-  retry_budget& budget = context_.budgets.of(terms_.service);
-  budget.on_first_send(terms_.received);
-  if (terms_.attributed.of_retry) {
-    budget.charge(terms_.received);
+  retry_budget& budget = context_.budgets.of(params_.service);
+  budget.on_first_send(params_.received);
+  if (params_.attributed.of_retry) {
+    budget.charge(params_.received);
   }
   deadline_timer_.after(std::max(timeLeft(), Duration(0)), [this] { onDeadline(); });
   if (!exchange_->hasBody()) {
@@ -46,8 +46,8 @@
   if (state_ == State::kDone) {
     return;
   }
-  body_.count(data.size());
-  if (body_.size() > terms_.traffic->configuration.limits.max_body_bytes) {
+  body_.count_received(data.size());
+  if (body_.size() > params_.traffic->configuration.limits.max_body_bytes) {
     answerOwn({own_answer_kind::body_too_large});
     return;
   }
@@ -59,8 +59,8 @@
     return;
   }
   body_.append(data);
-  if (state_ == State::kReceiving && body_.exceeds_hold()) {
-    body_.stream();
+  if (state_ == State::kReceiving && body_.exceeds_buffer_limit()) {
+    body_.start_streaming();
     attempt();
   }
 }
@@ -102,14 +102,14 @@
     attempt_->upstream->cancel();
   }
   if (state_ == State::kAnswering) {
-    breakOff();
+    abortAnswer();
     return;
   }
   endAttempt();
   answerOwn(answer_at_deadline(may_have_run));
 }
 
-void ForwardedRequest::breakOff() {
+void ForwardedRequest::abortAnswer() {
   context_.counters.broken_off += 1;
   done();
   exchange_->breakOff();
--- a/daemon/proxy/forwarded_request.h
+++ b/daemon/proxy/forwarded_request.h
@@ -1,24 +1,27 @@
-// A request of a client of this machine, or of its server, from its head to its answer.
+// A request of a client on this machine, or of the local server, from its head to its answer.
 //
-// Settles what holds for the whole request (forwarded_terms), makes one attempt after the other at
-// proxies beside servers of its service (forwarded_attempt), and passes the server's answer on or
-// gives one of this proxy's own. The rules stand in core/ (retries/retry_rule,
-// answers/own_answer); this class carries them out. Owns the exchange with the client and the
-// request's timers; the directory, the budgets and the counters are those of ProxyContext. On the
-// thread of the event loop.
+// Resolves what holds for the whole request (forwarded_params), makes attempts one after another
+// through the proxies beside the servers of its service (forwarded_attempt), and relays the
+// server's answer or gives one of this proxy's own. The rules are in core/ (retries/retry_rule,
+// answers/own_answer); this class applies them. Owns the exchange with the client and the request's
+// timers; the directory, the budgets and the counters belong to ProxyContext. Used on the event
+// loop's thread.
 //
-// States and what leads from one to the next:
+// States and transitions:
 //
-//   kReceiving         The body arrives and is held. When it is whole or too long to be held, a
-//                      server is chosen: kAttempting, or kWaitingForServer if none is known.
-//   kWaitingForServer  A server is looked for at intervals: kAttempting when there is one.
-//   kAttempting        One attempt is under way. It ends without an answer of a server: kAttempting
-//                      again by a retry, or an own answer. The server's answer is held up to a
-//                      size, or until it is whole, and then begins to leave: kAnswering.
-//   kAnswering         The server's answer is passed on. If it breaks off, so does the client's.
-//   kDone              The answer has left, or the client has gone. Nothing is under way.
+//   kReceiving         The body arrives and is buffered. Once it is complete or too long to buffer,
+//                      a server is chosen: kAttempting, or kWaitingForServer if none is known.
+//   kWaitingForServer  The directory is polled for a server: kAttempting once there is one.
+//   kAttempting        One attempt is in flight. If it ends without a server's answer, it is
+//                      retried (kAttempting again) or this proxy answers itself. The server's
+//                      answer is buffered until it is complete or exceeds the limit, and then
+//                      relayed: kAnswering.
+//   kAnswering         The server's answer is relayed. If it breaks off, the answer to the client
+//                      is aborted.
+//   kDone              The answer was sent or the client disconnected. Nothing is in flight.
 //
-// Every state but kDone leads to kDone by an own answer, by the deadline, or when the client goes.
+// Every state but kDone changes to kDone when the proxy answers itself, at the deadline, or when
+// the client disconnects.
 #pragma once
 
 #include <memory>
@@ -29,7 +32,7 @@
 #include "core/retries/retry_rule.h"
 #include "daemon/proxy/forwarded_attempt.h"
 #include "daemon/proxy/forwarded_body.h"
-#include "daemon/proxy/forwarded_terms.h"
+#include "daemon/proxy/forwarded_params.h"
 #include "daemon/proxy/proxy_context.h"
 #include "net/stream/http_client.h"
 #include "net/stream/http_server.h"
@@ -40,15 +43,15 @@
                          public ClientHandler,
                          public std::enable_shared_from_this<ForwardedRequest> {
  public:
-  /// Takes over `exchange`.
+  /// Handles `exchange` until it ends.
   static void serve(ProxyContext& context, const std::shared_ptr<ServerExchange>& exchange);
   ForwardedRequest(ProxyContext& context, std::shared_ptr<ServerExchange> exchange);
-  ~ForwardedRequest() override { context_.under_way.erase(this); }
+  ~ForwardedRequest() override { context_.attempting.erase(this); }
   ForwardedRequest(const ForwardedRequest&) = delete;
   ForwardedRequest& operator=(const ForwardedRequest&) = delete;
 
-  /// The proxy beside `instance` answers nothing any more. A request that waits there and may be
-  /// retried goes elsewhere; any other waits on, since only time can tell whether it runs.
+  /// The proxy beside `instance` has stopped answering. A request that is waiting there and may be
+  /// retried is sent elsewhere; any other keeps waiting, since it may still be running.
   void onPeerSilent(const KnownInstance& instance);
 
   void onRequestBody(std::string_view data) override;
@@ -74,48 +77,49 @@
 
   void start();
   void onDeadline();
-  /// Ends what is under way; the answer is the caller's to give.
+  /// Cancels the timers and ends the attempt. The caller answers the client.
   void done();
 
-  /// Chooses a server and begins an attempt there, or waits for one, or gives up.
+  /// Chooses a server and starts an attempt there, waits for a server, or answers without one.
   void attempt();
-  void begin(KnownInstance& instance, TimePoint now);
-  void makeDigest();
-  void onNotAdmitted();
+  void startAttempt(KnownInstance& instance, TimePoint now);
+  void computeDigest();
+  void onAdmissionTimeout();
   void endAttempt();
-  void afterFailure(attempt_failure failure);
-  void afterAttempt(attempt_end end, const std::string& reason);
-  /// Whether another attempt may follow on one that ended so; `arrivals` counts that one too.
+  void onAttemptFailed(attempt_failure failure);
+  void onAttemptEnded(attempt_end end, const std::string& reason);
+  /// Whether another attempt may follow one that ended with `end`. `arrivals` includes that
+  /// attempt.
   [[nodiscard]] retry_verdict judgeRetry(attempt_end end, std::uint32_t arrivals) const;
-  /// Takes a retry from the service's budget. False if there is not enough left.
-  bool payForRetry();
-  /// Carries out a verdict: pays where it asks for that. Whether the retry is to be made.
-  bool obtainRetry(const retry_verdict& verdict);
+  /// Charges a retry to the service's retry budget. Returns false if the budget does not allow it.
+  bool spendRetryBudget();
+  /// Applies a verdict, charging the retry budget where required. Returns whether to retry.
+  bool authorizeRetry(const retry_verdict& verdict);
   void retry(const std::string& reason);
 
-  void noteLoad(const HttpHead& head);
-  void notePeerAnswer(const peer_answer& answer);
-  /// Passes on the head of the server's answer and what has come of its body.
-  void releaseAnswer();
-  /// Ends the request by an answer of this proxy; an attempt under way is given up.
+  void recordLoad(const HttpHead& head);
+  void recordPeerAnswer(const peer_answer& answer);
+  /// Relays the head of the server's answer and the body received so far.
+  void startStreamingAnswer();
+  /// Ends the request with an answer of this proxy and cancels an attempt in flight.
   void answerOwn(const own_answer& answer);
   void logOwnAnswer(const own_answer& answer, const std::string& last_peer);
-  void noteOwnAnswer(const own_answer_form& form);
-  void respondOwn(const own_answer& answer, std::optional<Duration> retry_after);
-  /// Draws the time where the answer asks for that.
+  void recordOwnAnswer(const own_answer_form& form);
+  void sendOwnAnswer(const own_answer& answer, std::optional<Duration> retry_after);
+  /// The Retry-After time of the answer, randomized if the answer asks for spreading.
   [[nodiscard]] std::optional<Duration> retryAfter(const own_answer& answer);
-  /// The answer's head has left and its rest does not come: the client must see that.
-  void breakOff();
-  [[nodiscard]] Duration timeLeft() const { return terms_.deadline - EventLoop::now(); }
+  /// Aborts an answer whose head was already sent, so that the client sees that it is incomplete.
+  void abortAnswer();
+  [[nodiscard]] Duration timeLeft() const { return params_.deadline - EventLoop::now(); }
 
   ProxyContext& context_;
   std::shared_ptr<ServerExchange> exchange_;
   State state_ = State::kReceiving;
-  forwarded_terms terms_;
+  forwarded_params params_;
   forwarded_body body_;
-  std::string digest_;  ///< See kPeerDigest; made with the first attempt.
+  std::string digest_;  ///< See kPeerDigest; computed for the first attempt.
   forwarded_history history_;
-  std::optional<forwarded_attempt> attempt_;  ///< In kAttempting and kAnswering.
+  std::optional<forwarded_attempt> attempt_;  ///< Set in kAttempting and kAnswering.
   LoopTimer deadline_timer_;
   LoopTimer wait_timer_;  ///< Runs in kWaitingForServer.
 };
--- a/daemon/proxy/forwarded_retry.cc
+++ b/daemon/proxy/forwarded_retry.cc
@@ -1,4 +1,4 @@
-// The attempts at a forwarded request, one after the other: choice of a server, end, retry.
+// The attempts at a forwarded request: server selection, the end of an attempt, retries.
 #include "core/crash_evidence/request_digest.h"
 #include "core/retries/retry_reserve.h"
 #include "core/retries/server_wait.h"
@@ -7,32 +7,32 @@
 namespace ramppond {
 namespace {
 
-// A peer confirms or refuses within the time that a request may wait there and this much more, for
-// the way and for its work. With less, peers that are only busy would count as unreachable; with
-// more, a request waits longer for one that stands still.
+// A peer confirms or refuses a request within the request's maximum queueing time plus this margin
+// for transmission and processing. With a smaller margin, busy peers would count as unreachable;
+// with a larger one, a request waits longer for a peer that hangs.
 constexpr Duration kAdmissionMargin = milliseconds(250);
 
 }  // namespace
 
-// Retries send the same body, so it is made once.
-void ForwardedRequest::makeDigest() {
+// Computed once: retries send the same body.
+void ForwardedRequest::computeDigest() {
   if (!digest_.empty()) {
     return;
   }
   const HttpHead& head = exchange_->request();
   const std::string_view caller =
-      terms_.tenant == nullptr ? std::string_view() : terms_.tenant->name;
+      params_.tenant == nullptr ? std::string_view() : params_.tenant->name;
   digest_ =
       format_digest(digest_of({head.method, head.get("Host"), head.target, caller, body_.bytes()}));
 }
 
 void ForwardedRequest::attempt() {
   const TimePoint now = EventLoop::now();
-  KnownInstance* const instance =
-      context_.directory.choose(terms_.service, terms_.route->name, history_.tried, now);
-  const std::size_t attempts = history_.tried.size();
+  KnownInstance* const instance = context_.directory.choose(params_.service, params_.route->name,
+                                                            history_.tried_addresses, now);
+  const std::size_t attempts = history_.tried_addresses.size();
   if (instance == nullptr &&
-      may_wait_for_server(attempts, now - terms_.received, terms_.route->goal, timeLeft())) {
+      may_wait_for_server(attempts, now - params_.received, params_.route->goal, timeLeft())) {
     state_ = State::kWaitingForServer;
     wait_timer_.after(server_wait_interval, [this] { attempt(); });
     return;
@@ -41,53 +41,53 @@
     answerOwn(answer_without_server(history_.may_have_run));
     return;
   }
-  begin(*instance, now);
+  startAttempt(*instance, now);
 }
 
-void ForwardedRequest::begin(KnownInstance& instance, TimePoint now) {
+void ForwardedRequest::startAttempt(KnownInstance& instance, TimePoint now) {
   state_ = State::kAttempting;
-  makeDigest();
-  history_.tried.insert(instance.record.proxy_address);
+  computeDigest();
+  history_.tried_addresses.insert(instance.record.proxy_address);
   context_.counters.attempts += 1;
   HttpHead head =
-      head_for_peer({exchange_->request(), terms_, history_, instance, digest_,
-                     context_.api.headers().deadline_ms, now - terms_.received, timeLeft()});
+      head_for_peer({exchange_->request(), params_, history_, instance, digest_,
+                     context_.api.headers().deadline_ms, now - params_.received, timeLeft()});
   context_.directory.onSent(instance, now);
-  context_.under_way.insert(this);
+  context_.attempting.insert(this);
   attempt_.emplace(context_.loop, instance);
-  attempt_->send(context_.peers.to(instance.record.proxy_address), std::move(head), body_,
-                 terms_.may_run_twice(), shared_from_this());
+  attempt_->send(context_.peers.pool_for(instance.record.proxy_address), std::move(head), body_,
+                 params_.may_run_twice(), shared_from_this());
   if (body_.is_streamed()) {
-    body_.release();
+    body_.release_buffer();
   }
-  if (attempt_->is_held_back()) {
-    attempt_->confirm_timer.after(terms_.patience() + kAdmissionMargin,
-                                  [this] { onNotAdmitted(); });
+  if (attempt_->awaits_confirmation()) {
+    attempt_->confirm_timer.after(params_.patience() + kAdmissionMargin,
+                                  [this] { onAdmissionTimeout(); });
   }
 }
 
 void ForwardedRequest::onInterim(int /*status*/) {
-  if (attempt_ && attempt_->is_held_back()) {
+  if (attempt_ && attempt_->awaits_confirmation()) {
     attempt_->confirm();
   }
 }
 
-// The peer neither has room nor refuses: it is gone or stands still.
-void ForwardedRequest::onNotAdmitted() {
-  if (!attempt_ || !attempt_->is_held_back()) {
+// The peer neither confirmed nor refused in time: it is gone or hangs.
+void ForwardedRequest::onAdmissionTimeout() {
+  if (!attempt_ || !attempt_->awaits_confirmation()) {
     return;
   }
   const auto self = shared_from_this();
   context_.directory.onUnreachable(attempt_->instance, EventLoop::now());
   attempt_->upstream->cancel();
-  afterFailure(attempt_failure::not_admitted);
+  onAttemptFailed(attempt_failure::not_admitted);
 }
 
 void ForwardedRequest::endAttempt() {
   if (!attempt_) {
     return;
   }
-  context_.under_way.erase(this);
+  context_.attempting.erase(this);
   context_.directory.onEnded(attempt_->instance);
   attempt_.reset();
 }
@@ -95,20 +95,20 @@
 retry_verdict ForwardedRequest::judgeRetry(attempt_end end, std::uint32_t arrivals) const {
   ended_attempt ended;
   ended.end = end;
-  ended.may_run_twice = terms_.may_run_twice();
+  ended.may_run_twice = params_.may_run_twice();
   ended.body_held = !body_.is_streamed();
-  ended.attempts = history_.tried.size();
+  ended.attempts = history_.tried_addresses.size();
   ended.arrivals = arrivals;
-  ended.max_arrivals = terms_.route->max_attempts;
+  ended.max_arrivals = params_.route->max_attempts;
   ended.lost_runs = history_.lost_runs;
   ended.time_left = timeLeft();
   return judge_retry(ended);
 }
 
-bool ForwardedRequest::payForRetry() {
-  const budget_reserve reserve = reserve_of(terms_.is_call, terms_.attributed.calls_to_come);
+bool ForwardedRequest::spendRetryBudget() {
+  const budget_reserve reserve = reserve_of(params_.is_call, params_.attributed.calls_to_come);
   const budget_draw draw = {context_.random.uniform()};
-  const bool paid = context_.budgets.of(terms_.service).take(EventLoop::now(), reserve, draw);
+  const bool paid = context_.budgets.of(params_.service).take(EventLoop::now(), reserve, draw);
   if (paid) {
     context_.counters.retries += 1;
   } else {
@@ -117,9 +117,9 @@
   return paid;
 }
 
-bool ForwardedRequest::obtainRetry(const retry_verdict& verdict) {
+bool ForwardedRequest::authorizeRetry(const retry_verdict& verdict) {
   if (std::holds_alternative<retry_to_be_paid>(verdict)) {
-    return payForRetry();
+    return spendRetryBudget();
   }
   return std::holds_alternative<retry_free>(verdict);
 }
@@ -130,7 +130,7 @@
     logEvent(now.count(), context_.retry_log.event(),
              {{"request", exchange_->request().get(context_.api.headers().request_id)},
               {"digest", digest_},
-              {"service", terms_.service},
+              {"service", params_.service},
               {"after", reason}});
   }
   attempt();
@@ -138,32 +138,32 @@
 
 void ForwardedRequest::onPeerSilent(const KnownInstance& instance) {
   const bool waits_there = state_ == State::kAttempting && &attempt_->instance == &instance;
-  if (!waits_there || attempt_->has<held_answer>()) {
+  if (!waits_there || attempt_->has<buffered_answer>()) {
     return;
   }
-  if (attempt_->is_held_back()) {
-    onNotAdmitted();
+  if (attempt_->awaits_confirmation()) {
+    onAdmissionTimeout();
     return;
   }
   const attempt_end end = end_of(attempt_failure::peer_silent, false);
-  if (!obtainRetry(judgeRetry(end, history_.arrivals + 1))) {
+  if (!authorizeRetry(judgeRetry(end, history_.arrivals + 1))) {
     return;
   }
   attempt_->upstream->cancel();
   endAttempt();
-  history_.note(end);
+  history_.record(end);
   retry(std::string(text_of(attempt_failure::peer_silent)));
 }
 
-void ForwardedRequest::afterFailure(attempt_failure failure) {
-  const attempt_end end = end_of(failure, attempt_->is_held_back());
-  afterAttempt(end, std::string(text_of(failure)));
+void ForwardedRequest::onAttemptFailed(attempt_failure failure) {
+  const attempt_end end = end_of(failure, attempt_->awaits_confirmation());
+  onAttemptEnded(end, std::string(text_of(failure)));
 }
 
-void ForwardedRequest::afterAttempt(attempt_end end, const std::string& reason) {
+void ForwardedRequest::onAttemptEnded(attempt_end end, const std::string& reason) {
   endAttempt();
-  history_.note(end);
-  if (obtainRetry(judgeRetry(end, history_.arrivals))) {
+  history_.record(end);
+  if (authorizeRetry(judgeRetry(end, history_.arrivals))) {
     context_.counters.retries_of_unknown += end == attempt_end::unknown ? 1 : 0;
     retry(reason);
     return;
--- a/daemon/proxy/inbound_answer.cc
+++ b/daemon/proxy/inbound_answer.cc
@@ -1,4 +1,4 @@
-// The answer to a peer's request: the own server's, or a refusal in its place.
+// Response handling of a peer's request: relays the local server's answer, or refuses in its place.
 #include "daemon/proxy/inbound_request.h"
 #include "daemon/proxy/peer_headers.h"
 #include "net/stream/http_status.h"
@@ -6,7 +6,7 @@
 namespace ramppond {
 namespace {
 
-run_failure decode(ClientFailure failure) {
+run_failure toRunFailure(ClientFailure failure) {
   switch (failure) {
     case ClientFailure::kNoSocket:
       return run_failure::no_socket;
@@ -23,12 +23,12 @@
   return run_failure::connection_lost;
 }
 
-bool bodiless(int status) {
+bool statusForbidsBody(int status) {
   return status == kNoContent || status == kNotModified;
 }
 
-// The word of the wire.
-std::string_view outcomeWord(refusal_kind kind) {
+// The outcome token on the wire.
+std::string_view outcomeToken(refusal_kind kind) {
   switch (kind) {
     case refusal_kind::busy:
       return kOutcomeBusy;
@@ -50,7 +50,7 @@
 
 void InboundRequest::refuse(inbound_refusal refusal) {
   const refusal_terms terms = terms_of(refusal);
-  const std::string outcome(outcomeWord(terms.kind));
+  const std::string outcome(outcomeToken(terms.kind));
   const std::string reason(terms.reason);
   count(terms.counter);
   HttpHead head;
@@ -61,7 +61,7 @@
     head.fields.push_back({id_header, *id});
   }
   head.fields.push_back({std::string(kPeerOutcome), outcome + ";" + reason});
-  addLoad(head);
+  addLoadHeaders(head);
   const TimePoint now = EventLoop::now();
   if (blocked_until_) {
     head.fields.push_back({std::string(kPeerBlockedMs), formatMilliseconds(*blocked_until_ - now)});
@@ -121,23 +121,23 @@
   }
 }
 
-void InboundRequest::addLoad(HttpHead& head) {
+void InboundRequest::addLoadHeaders(HttpHead& head) {
   const ServerLoad load = context_.own.load(route_);
   head.fields.push_back({std::string(kPeerLoad), formatLoad(load)});
   if (load.rate) {
     head.fields.push_back({std::string(kPeerRate), formatRate(*load.rate)});
   }
-  const std::string below = formatOverload(
+  const std::string levels = formatOverload(
       overload_of_calls(route_, context_.calls, context_.overload, EventLoop::now()));
-  if (!below.empty()) {
-    head.fields.push_back({std::string(kPeerOverload), below});
+  if (!levels.empty()) {
+    head.fields.push_back({std::string(kPeerOverload), levels});
   }
 }
 
-void InboundRequest::noteServer(const HttpHead& head) {
+void InboundRequest::processServerHeaders(const HttpHead& head) {
   const ExternalHeaders& names = context_.api.headers();
-  context_.own.on_named_limit(incarnation_, context_.api.parseLimit(head.all(names.server_limit)),
-                              begun_);
+  context_.own.on_announced_limit(incarnation_,
+                                  context_.api.parseLimit(head.all(names.server_limit)), begun_);
   if (context_.api.parseLeaving(head.all(names.server_leaving))) {
     context_.own.on_leaving_answer(incarnation_);
   }
@@ -149,8 +149,8 @@
   }
   const ExternalHeaders& names = context_.api.headers();
   const bool not_run = head.find(names.not_run) != nullptr || head.status == kMisdirected;
-  if (head.status != kMisdirected) {  // Such an answer is another instance's.
-    noteServer(head);
+  if (head.status != kMisdirected) {  // Such an answer comes from another instance.
+    processServerHeaders(head);
   }
   head.removeHopByHop();
   removePeerHeaders(head);
@@ -163,9 +163,9 @@
     }
     return;
   }
-  addLoad(head);
+  addLoadHeaders(head);
   BodyFraming framing = framingOf(head);
-  if (framing == BodyFraming::kNone && !bodiless(head.status)) {
+  if (framing == BodyFraming::kNone && !statusForbidsBody(head.status)) {
     framing = BodyFraming::kChunked;
   }
   exchange_->sendHead(head, framing);
@@ -205,15 +205,15 @@
   finishServerWork(outcome_);
 }
 
-void InboundRequest::tellGuardOfLeaving() {
+void InboundRequest::reportAbandonedRun() {
   if (digest_) {
-    context_.guard.on_abandoned({incarnation_, *digest_, alone_});
+    context_.guard.on_abandoned({incarnation_, *digest_, isolated_});
   }
 }
 
-void InboundRequest::tellGuardOfLoss() {
+void InboundRequest::reportLostRun() {
   if (digest_) {
-    context_.guard.on_lost({incarnation_, *digest_, alone_});
+    context_.guard.on_lost({incarnation_, *digest_, isolated_});
   }
 }
 
@@ -230,13 +230,13 @@
   }
   const auto self = shared_from_this();
   context_.counters.server_failures += 1;
-  const run_failure failure = decode(client_failure);
+  const run_failure failure = toRunFailure(client_failure);
   if (may_be_crash(failure)) {
-    tellGuardOfLoss();
+    reportLostRun();
   }
-  const bool others_stand =
+  const bool other_connections_open =
       failure == run_failure::refused && context_.own.on_connection_refused(incarnation_);
-  const auto refusal = refusal_after(failure, answerProgress(), others_stand);
+  const auto refusal = refusal_after(failure, answerProgress(), other_connections_open);
   if (refusal) {
     refuse(*refusal);
   } else {
--- a/daemon/proxy/inbound_request.cc
+++ b/daemon/proxy/inbound_request.cc
@@ -10,10 +10,11 @@
 namespace ramppond {
 namespace {
 
-// Bodies up to this size are complete before the request is begun; longer ones are streamed. With
-// more, the bodies of waiting requests fill the memory; with less, slow senders hold slots.
-constexpr std::size_t kWholeBodyBytes = 65536;
-// Of a request that does not tell its deadline.
+// Bodies up to this size are received whole before the request is submitted for admission; longer
+// ones are streamed. With a larger limit, the bodies of queued requests fill the memory; with a
+// smaller one, slow senders occupy server slots.
+constexpr std::size_t kMaxBufferedBodyBytes = 65536;
+// Time left for a request that states no deadline.
 constexpr Duration kDefaultTimeLeft = seconds(60);
 
 }  // namespace
@@ -35,7 +36,7 @@
     return;
   }
   body_ended_ = !exchange_->hasBody();
-  if (bodyArrived()) {
+  if (hasRequiredBody()) {
     begin();
   }
 }
@@ -59,17 +60,17 @@
   admission_.pressing_wait = pressing_wait(admission_.patience, admission_.is_call);
   head.removeHopByHop();
   retryable_ = head.find(kPeerRetryable) != nullptr;
-  retry_ = head.find(kPeerRetry) != nullptr;
-  held_back_ = parseBodyForm(head.get(kPeerConfirm));
+  is_retry_ = head.find(kPeerRetry) != nullptr;
+  withheld_body_ = parseWithheldBody(head.get(kPeerConfirm));
   if (const auto told = parseRate(head.find(kPeerToldRate))) {
-    context_.own.on_told_limit(incarnation_, told->limit);
+    context_.own.on_limit_from_peer(incarnation_, told->limit);
   }
   removePeerHeaders(head);
 }
 
-// Whether everything has come that is needed to ask for room.
-bool InboundRequest::bodyArrived() const {
-  return body_ended_ || (held_back_ && body_.size() >= held_back_->bytes);
+// Whether enough of the body has arrived to request admission.
+bool InboundRequest::hasRequiredBody() const {
+  return body_ended_ || (withheld_body_ && body_.size() >= withheld_body_->bytes);
 }
 
 bool InboundRequest::refuseIfFenced() {
@@ -82,35 +83,36 @@
 }
 
 void InboundRequest::begin() {
-  const suspicion_state held =
+  const suspicion_state judged =
       digest_ ? context_.guard.judge(*digest_) : suspicion_state(unsuspected{});
-  const bool has_trial =
-      std::holds_alternative<on_trial>(held) && context_.guard.has_trial(*digest_);
-  alone_ = false;
-  std::visit(overloaded{[&](const begins_beside_others&) { askAdmission(); },
+  const bool may_host_trial =
+      std::holds_alternative<on_trial>(judged) && context_.guard.may_host_trial(*digest_);
+  isolated_ = false;
+  std::visit(overloaded{[&](const begins_beside_others&) { requestAdmission(); },
                         [&](const begins_alone& b) { isolate(b.level); },
                         [&](const begins_elsewhere&) { refuse(inbound_refusal::trial_elsewhere); },
                         [&](const begins_nowhere& b) { refuseBlocked(b.blocked_until); }},
-             beginning_of(held, has_trial));
+             beginning_of(judged, may_host_trial));
 }
 
 void InboundRequest::isolate(suspicion level) {
   const TimePoint now = EventLoop::now();
   suspicion_ = level;
   if (!isolated_until_) {
-    const auto patience = held_back_ ? std::optional<Duration>(admission_.patience) : std::nullopt;
+    const auto patience =
+        withheld_body_ ? std::optional<Duration>(admission_.patience) : std::nullopt;
     isolated_until_ = now + isolation_time(level, deadline_ - now, patience);
   }
   state_ = State::kAwaitingIsolation;
   if (context_.guard.enter(shared_from_this(), admission_.id, *isolated_until_)) {
-    onAlone();
+    onIsolated();
   }
 }
 
-void InboundRequest::onAlone() {
+void InboundRequest::onIsolated() {
   if (state_ == State::kAwaitingIsolation) {
-    alone_ = true;
-    askAdmission();
+    isolated_ = true;
+    requestAdmission();
   }
 }
 
@@ -122,7 +124,7 @@
   if (refusal) {
     refuse(*refusal);
   } else {
-    askAdmission();
+    requestAdmission();
   }
 }
 
@@ -137,12 +139,12 @@
   refuse(inbound_refusal::blocked);
 }
 
-void InboundRequest::askAdmission() {
+void InboundRequest::requestAdmission() {
   if (!context_.own.breaker_admits(retryable_)) {
     refuse(inbound_refusal::breaker_open);
     return;
   }
-  state_ = State::kAwaitingRoom;
+  state_ = State::kAwaitingAdmission;
   admission_.service_time = context_.own.service_time(route_);
   const AdmissionVerdict verdict = context_.own.admission().offer(admission_, EventLoop::now());
   switch (verdict) {
@@ -162,7 +164,7 @@
 }
 
 void InboundRequest::onAdmitted() {
-  under_way_ = true;
+  in_flight_ = true;
   begun_ = EventLoop::now();
   context_.own.on_begun(route_, begun_);
   if (state_ == State::kDone || refuseIfFenced()) {
@@ -174,29 +176,30 @@
     finishServerWork(ServerOutcome::kWithdrawn);
     return;
   }
-  if (held_back_ && !body_ended_) {
-    askConfirmation();
+  if (withheld_body_ && !body_ended_) {
+    requestConfirmation();
   } else {
     dispatch();
   }
 }
 
-void InboundRequest::askConfirmation() {
-  state_ = State::kAwaitingEnd;
+void InboundRequest::requestConfirmation() {
+  state_ = State::kAwaitingConfirmation;
   exchange_->sendInterim(kProcessing);
-  exchange_->resumeRequestBody();  // The end comes behind the rest of the body.
+  exchange_->resumeRequestBody();  // The last chunk follows the rest of the body.
   const std::weak_ptr<InboundRequest> weak = weak_from_this();
   confirm_timer_.after(confirmation_time, [weak] {
     const auto self = weak.lock();
     if (self != nullptr) {
-      self->onNotConfirmed();
+      self->onConfirmationTimeout();
     }
   });
 }
 
-// Its sender has fallen silent, or has sent it elsewhere: the slot goes to another request.
-void InboundRequest::onNotConfirmed() {
-  if (state_ == State::kAwaitingEnd) {
+// The sender stopped responding or sent the request elsewhere: the slot is freed for another
+// request.
+void InboundRequest::onConfirmationTimeout() {
+  if (state_ == State::kAwaitingConfirmation) {
     refuse(inbound_refusal::not_confirmed);
     finishServerWork(ServerOutcome::kWithdrawn);
   }
@@ -214,15 +217,15 @@
 void InboundRequest::dispatch() {
   const Duration left = deadline_ - EventLoop::now();
   state_ = State::kRunning;
-  context_.calls.on_begun(admission_.id, route_, deadline_, retry_);
+  context_.calls.on_begun(admission_.id, route_, deadline_, is_retry_);
   HttpHead& head = exchange_->mutableRequest();
   head.set(context_.api.headers().deadline_ms, formatMilliseconds(left));
   head.set(context_.api.headers().expect_instance, context_.own.reports().heartbeat().instance_id);
-  if (held_back_) {
-    const bool has_length = held_back_->framing == BodyFraming::kLength;
-    head.chunked = held_back_->framing == BodyFraming::kChunked;
+  if (withheld_body_) {
+    const bool has_length = withheld_body_->framing == BodyFraming::kLength;
+    head.chunked = withheld_body_->framing == BodyFraming::kChunked;
     head.content_length =
-        has_length ? std::optional<std::uint64_t>(held_back_->bytes) : std::nullopt;
+        has_length ? std::optional<std::uint64_t>(withheld_body_->bytes) : std::nullopt;
   }
   upstream_ = context_.own.connections().start(head, framingOf(head), body_, body_ended_,
                                                shared_from_this());
@@ -231,8 +234,8 @@
   exchange_->resumeRequestBody();
 }
 
-void InboundRequest::onPatienceEnded() {
-  if (state_ == State::kAwaitingRoom) {
+void InboundRequest::onQueueTimeout() {
+  if (state_ == State::kAwaitingAdmission) {
     if (context_.own.admission().waitsForRate()) {
       refuseForRate();
     } else {
@@ -247,16 +250,16 @@
 }
 
 void InboundRequest::finishServerWork(ServerOutcome outcome) {
-  if (!under_way_) {
+  if (!in_flight_) {
     return;
   }
-  under_way_ = false;
+  in_flight_ = false;
   context_.calls.on_ended(admission_.id, outcome == ServerOutcome::kAnswered);
   const bool sent = upstream_ != nullptr && upstream_->sent();
   const bool reused = upstream_ != nullptr && upstream_->reusedConnection();
   const Duration since_failed_call = EventLoop::now() - context_.last_failed_forward;
   context_.own.on_ended({route_, begun_, outcome, sent, reused, since_failed_call});
-  context_.waiting.pump();
+  context_.waiting.dispatch_ready();
 }
 
 void InboundRequest::onRequestBody(std::string_view data) {
@@ -274,9 +277,9 @@
   if (state_ != State::kReceiving) {
     return;
   }
-  if (held_back_ && bodyArrived()) {
+  if (withheld_body_ && hasRequiredBody()) {
     begin();
-  } else if (body_.size() >= kWholeBodyBytes) {
+  } else if (body_.size() >= kMaxBufferedBodyBytes) {
     exchange_->pauseRequestBody();
     begin();
   }
@@ -286,7 +289,7 @@
   body_ended_ = true;
   if (state_ == State::kReceiving && exchange_->hasBody()) {
     begin();
-  } else if (state_ == State::kAwaitingEnd) {
+  } else if (state_ == State::kAwaitingConfirmation) {
     onConfirmed();
   } else if (state_ == State::kRunning && upstream_ != nullptr) {
     upstream_->finishBody();
@@ -298,18 +301,18 @@
 }
 
 void InboundRequest::onClientGone() {
-  if (state_ == State::kAwaitingRoom) {
+  if (state_ == State::kAwaitingAdmission) {
     context_.waiting.withdraw(admission_.id);
   }
   const State before = state_;
   done();
-  if (before == State::kAwaitingEnd) {
+  if (before == State::kAwaitingConfirmation) {
     finishServerWork(ServerOutcome::kWithdrawn);
   }
   if (before == State::kRunning && upstream_ != nullptr) {
     const ServerOutcome outcome = outcome_of_given_up(deadline_ - EventLoop::now());
     upstream_->cancel();
-    tellGuardOfLeaving();
+    reportAbandonedRun();
     finishServerWork(outcome);
   }
 }
--- a/daemon/proxy/inbound_request.h
+++ b/daemon/proxy/inbound_request.h
@@ -1,8 +1,8 @@
-// A request of a peer for the own server: fenced, isolated if suspected, admitted, run, answered.
+// A peer's request for the local server: fenced, isolated if suspected, admitted, run, answered.
 //
-// Owns the two exchanges and where the request is on its way. The decisions are in core/admission;
-// this class decodes what they need, asks them, and carries them out. Relies on a context that
-// outlives it; on the thread of the event loop.
+// Owns both exchanges and the state of the request. The decisions are made in core/admission; this
+// class decodes their input and applies them. Relies on a context that outlives it. Used on the
+// event loop's thread.
 #pragma once
 
 #include <memory>
@@ -22,19 +22,19 @@
                        public ClientHandler,
                        public std::enable_shared_from_this<InboundRequest> {
  public:
-  /// Takes over `exchange`.
+  /// Handles `exchange` until it ends.
   static void serve(ProxyContext& context, const std::shared_ptr<ServerExchange>& exchange);
   InboundRequest(ProxyContext& context, std::shared_ptr<ServerExchange> exchange);
 
-  /// There is room at the server; the request counts as under way there.
+  /// The request was admitted and counts as in flight at the server.
   void onAdmitted();
-  /// It waited for room for as long as it may.
-  void onPatienceEnded();
-  /// No other suspected request runs at the server.
-  void onAlone();
-  /// It waited to run alone for as long as it may.
+  /// The request reached its maximum queueing time.
+  void onQueueTimeout();
+  /// No other suspected request runs at the server: this one may run in isolation.
+  void onIsolated();
+  /// The request reached its maximum wait for isolation.
   void onIsolationTimeout();
-  /// What is known of requests that crash servers has changed while it waited to run alone.
+  /// The records of requests that crash servers have changed while this one waited for isolation.
   void reconsider();
 
   void onRequestBody(std::string_view data) override;
@@ -50,70 +50,71 @@
 
  private:
   enum class State : std::uint8_t {
-    kReceiving,          ///< What is needed to begin has not come yet.
-    kAwaitingIsolation,  ///< Until no other suspected request runs at the server.
-    kAwaitingRoom,
-    kAwaitingEnd,  ///< There is room; the sender was asked for the end that it holds back.
-    kRunning,      ///< At the server.
+    kReceiving,          ///< Not enough of the body has arrived yet.
+    kAwaitingIsolation,  ///< Waits until no other suspected request runs at the server.
+    kAwaitingAdmission,
+    kAwaitingConfirmation,  ///< Admitted; waits for the withheld last chunk.
+    kRunning,               ///< Sent to the server.
     kDone,
   };
 
   void start();
-  /// Takes the fields that the sending proxy added, and removes them.
+  /// Reads the header fields that the sending proxy added, and removes them.
   void decodeHead();
-  /// Everything has come that is needed: decides by what is known of requests like this one.
+  /// Enough of the request has arrived: decides how to run it from the crash records of its digest.
   void begin();
   void isolate(suspicion level);
   void refuseBlocked(TimePoint until);
-  void askAdmission();
-  void askConfirmation();
+  void requestAdmission();
+  void requestConfirmation();
   void onConfirmed();
-  void onNotConfirmed();
+  void onConfirmationTimeout();
   void dispatch();
-  [[nodiscard]] bool bodyArrived() const;
+  [[nodiscard]] bool hasRequiredBody() const;
   bool refuseIfFenced();
   /// Answers in place of the server and ends the request.
   void refuse(inbound_refusal refusal);
-  /// The server names a rate that leaves no place for it in time.
+  /// Refuses the request because the server's announced rate limit cannot admit it in time.
   void refuseForRate();
   void logRefusal(const std::string& outcome, const std::string& reason, TimePoint now);
   void count(refusal_counter counter);
   void finishServerWork(ServerOutcome outcome);
-  /// Takes what the head of the server's answer says of the server itself.
-  void noteServer(const HttpHead& head);
-  /// Adds the load of the own server, and overload further down, for the sending proxy.
-  void addLoad(HttpHead& head);
+  /// Processes the header fields by which the server reports on itself.
+  void processServerHeaders(const HttpHead& head);
+  /// Adds the local server's load, and the overload of services further down, for the sending
+  /// proxy.
+  void addLoadHeaders(HttpHead& head);
   [[nodiscard]] answer_progress answerProgress() const;
-  /// Nobody waits for the server any more; it may work on the request for a moment longer.
-  void tellGuardOfLeaving();
-  void tellGuardOfLoss();
+  /// The request was abandoned; the server may keep working on it for a moment.
+  void reportAbandonedRun();
+  void reportLostRun();
   void done();
 
   ProxyContext& context_;
   std::shared_ptr<ServerExchange> exchange_;
   std::shared_ptr<ClientExchange> upstream_;
   State state_ = State::kReceiving;
-  std::string incarnation_;  ///< That the request is meant for.
+  std::string incarnation_;  ///< Incarnation that the request is addressed to.
   std::string service_;
   std::string route_;
   std::optional<request_digest> digest_;
   AdmissionRequest admission_;
   TimePoint received_{0};
   TimePoint deadline_{0};
-  TimePoint begun_{0};  ///< When there was room.
-  std::string body_;    ///< What came before the request was handed to the server.
+  TimePoint begun_{0};  ///< When the request was admitted.
+  std::string body_;    ///< Bytes received before the request was sent to the server.
   bool body_ended_ = false;
-  std::optional<BodyForm> held_back_;  ///< If its sender holds back its end.
+  std::optional<WithheldBody> withheld_body_;  ///< Set if the sender withholds the last chunk.
   LoopTimer confirm_timer_;
-  std::optional<TimePoint> isolated_until_;  ///< The latest; set when it first waits to run alone.
+  std::optional<TimePoint> isolated_until_;  ///< End of the wait for isolation, once started.
   std::optional<TimePoint> blocked_until_;
-  suspicion suspicion_ = suspicion::heavy;  ///< Of one that is to run alone.
-  bool alone_ = false;  ///< It began while no other suspected request ran at the server.
+  suspicion suspicion_ = suspicion::heavy;  ///< Level of a request that must run in isolation.
+  bool isolated_ = false;  ///< Submitted while no other suspected request ran at the server.
   bool retryable_ = false;
-  bool retry_ = false;       ///< A server may have run it before; see kPeerRetry.
-  bool under_way_ = false;   ///< Counted by the admission.
-  bool discarding_ = false;  ///< The server's answer says "not run": only its end is awaited.
-  ServerOutcome outcome_ = ServerOutcome::kAnswered;  ///< As far as the answer's head tells.
+  bool is_retry_ = false;    ///< A server may have run it before; see kPeerRetry.
+  bool in_flight_ = false;   ///< Counted as in flight by the admission.
+  bool discarding_ = false;  ///< The server's answer says "not run": its body is discarded.
+  ServerOutcome outcome_ = ServerOutcome::kAnswered;  ///< Judged by the head of the answer.
 };
 
 }  // namespace ramppond
--- a/daemon/proxy/json_answer.h
+++ b/daemon/proxy/json_answer.h
@@ -1,4 +1,4 @@
-// The answers of the proxy to the platform's readiness checks and to its server's reports.
+// Answers of the proxy to the platform's readiness checks and to reports of the local server.
 #pragma once
 
 #include "net/stream/http_server.h"
--- a/daemon/proxy/own_server.cc
+++ b/daemon/proxy/own_server.cc
@@ -23,12 +23,12 @@
   logEvent(now.count(), "server",
            {{"instance", heartbeat.incarnation()},
             {"state", heartbeat.draining ? "draining" : "ready"}});
-  this->report_change();
+  this->on_server_changed();
 }
 
 void own_server::on_leave(const ServerLeave& leave) {
   if (this->server.onLeave(leave, EventLoop::now())) {
-    this->report_change();
+    this->on_server_changed();
   }
 }
 
@@ -36,51 +36,51 @@
   const auto now = EventLoop::now();
   if (this->server.onLeavingAnswer(incarnation, now)) {
     logEvent(now.count(), "server", {{"instance", incarnation}, {"state", "draining"}});
-    this->report_change();
+    this->on_server_changed();
   }
 }
 
-void own_server::on_named_limit(const std::string& incarnation, const named_limit& answered,
-                                TimePoint begun) {
-  if (incarnation != this->judged_incarnation) {
+void own_server::on_announced_limit(const std::string& incarnation, const named_limit& answered,
+                                    TimePoint begun) {
+  if (incarnation != this->tracked_incarnation) {
     return;
   }
   this->log_unreadable(incarnation, answered);
   const auto now = EventLoop::now();
-  const auto before = this->named.rate();
-  if (this->named.on_answer(answered, begun, now)) {
+  const auto before = this->announced_limit.rate();
+  if (this->announced_limit.on_answer(answered, begun, now)) {
     this->apply_rate(before);
   }
 }
 
-void own_server::on_told_limit(const std::string& incarnation, request_rate told) {
-  const auto before = this->named.rate();
-  if (incarnation == this->judged_incarnation &&
-      this->named.on_told_by_peer(told, EventLoop::now())) {
+void own_server::on_limit_from_peer(const std::string& incarnation, request_rate reported) {
+  const auto before = this->announced_limit.rate();
+  if (incarnation == this->tracked_incarnation &&
+      this->announced_limit.on_told_by_peer(reported, EventLoop::now())) {
     this->apply_rate(before);
   }
 }
 
 void own_server::apply_rate(const std::optional<request_rate>& before) {
   const auto now = EventLoop::now();
-  this->admitted.setRate(this->named.rate(), now);
+  this->admission_control.setRate(this->announced_limit.rate(), now);
   logEvent(now.count(), "server_limit",
-           {{"instance", this->judged_incarnation},
+           {{"instance", this->tracked_incarnation},
             {"before", text_of(before)},
-            {"now", text_of(this->named.rate())}});
+            {"now", text_of(this->announced_limit.rate())}});
 }
 
 void own_server::log_limit_use() const {
-  if (!this->named.rate()) {
+  if (!this->announced_limit.rate()) {
     return;
   }
   const auto now = EventLoop::now();
   logEvent(now.count(), "server_limit_use",
-           {{"instance", this->judged_incarnation},
-            {"limit", text_of(this->named.rate())},
-            {"age_us", std::to_string(this->named.age(now).count())},
+           {{"instance", this->tracked_incarnation},
+            {"limit", text_of(this->announced_limit.rate())},
+            {"age_us", std::to_string(this->announced_limit.age(now).count())},
             {"dispatched", std::to_string(this->dispatched)},
-            {"refused", std::to_string(this->beyond_rate)}});
+            {"refused", std::to_string(this->refused_for_rate)}});
 }
 
 void own_server::log_unreadable(const std::string& incarnation, const named_limit& answered) {
@@ -94,7 +94,7 @@
 
 void own_server::on_wrong_instance(const std::string& incarnation) {
   if (this->server.onWrongInstance(incarnation)) {
-    this->report_change();
+    this->on_server_changed();
   }
 }
 
@@ -104,7 +104,7 @@
     this->on_gone(incarnation);
   }
   if (this->server.onConnectionRefused(incarnation, established)) {
-    this->report_change();
+    this->on_server_changed();
   }
   return established > 0;
 }
@@ -119,14 +119,14 @@
                      [&](const ServiceDefinition& defined) { return defined.name == service; });
 }
 
-void own_server::report_change() {
+void own_server::on_server_changed() {
   const auto incarnation = this->server.heartbeat().incarnation();
-  if (this->server.known() && incarnation != this->judged_incarnation) {
-    this->judged_incarnation = incarnation;
+  if (this->server.known() && incarnation != this->tracked_incarnation) {
+    this->tracked_incarnation = incarnation;
     this->breaker = circuit_breaker();
-    this->times = service_times();
-    this->named = limit_in_force();
-    this->admitted.setRate(std::nullopt, EventLoop::now());
+    this->service_durations = service_times();
+    this->announced_limit = limit_in_force();
+    this->admission_control.setRate(std::nullopt, EventLoop::now());
   }
   this->apply_limits();
   this->on_changed();
@@ -142,7 +142,7 @@
       max_connections = service.max_connections;
     }
   }
-  this->admitted.setSlots(this->server.heartbeat().slots, max_connections);
+  this->admission_control.setSlots(this->server.heartbeat().slots, max_connections);
 }
 
 auto own_server::fence(const std::string& incarnation, const std::string& service) const
@@ -155,25 +155,25 @@
 }
 
 auto own_server::service_time(const std::string& route) const -> std::optional<Duration> {
-  return this->times.of(route, EventLoop::now());
+  return this->service_durations.of(route, EventLoop::now());
 }
 
 void own_server::on_begun(const std::string& route, TimePoint now) {
   this->dispatched += 1;
-  this->times.on_begun(route, now);
+  this->service_durations.on_begun(route, now);
 }
 
 void own_server::on_ended(const ended_run& run) {
   const auto now = EventLoop::now();
-  this->times.on_ended(run.route, run.begun, isWork(run.outcome), now);
-  this->tell_breaker(run, now);
-  this->admitted.onFinished(run.begun, run.outcome, now);
+  this->service_durations.on_ended(run.route, run.begun, isWork(run.outcome), now);
+  this->update_breaker(run, now);
+  this->admission_control.onFinished(run.begun, run.outcome, now);
   if (!run.sent) {
-    this->admitted.onNeverSent(now);
+    this->admission_control.onNeverSent(now);
   }
 }
 
-void own_server::tell_breaker(const ended_run& run, TimePoint now) {
+void own_server::update_breaker(const ended_run& run, TimePoint now) {
   const auto was_closed = this->breaker.is_closed();
   switch (signal_of(run.outcome, run.reused_connection, run.since_failed_call)) {
     case breaker_signal::success:
@@ -194,14 +194,14 @@
 auto own_server::load(const std::string& route) const -> ServerLoad {
   const auto now = EventLoop::now();
   auto load = ServerLoad();
-  load.limit = this->admitted.limit();
-  load.under_way = static_cast<std::uint32_t>(this->admitted.underWay());
-  load.waiting = static_cast<std::uint32_t>(this->admitted.waiting());
-  load.service_time = this->times.of(route, now).value_or(Duration(0));
-  load.failed_permille = this->admitted.failedPermille();
-  load.shed = this->admitted.shedLevel(now);
-  if (const auto rate = this->named.rate()) {
-    load.rate = rate_load{*rate, this->admitted.demand(now)};
+  load.limit = this->admission_control.limit();
+  load.under_way = static_cast<std::uint32_t>(this->admission_control.underWay());
+  load.waiting = static_cast<std::uint32_t>(this->admission_control.waiting());
+  load.service_time = this->service_durations.of(route, now).value_or(Duration(0));
+  load.failed_permille = this->admission_control.failedPermille();
+  load.shed = this->admission_control.shedLevel(now);
+  if (const auto rate = this->announced_limit.rate()) {
+    load.rate = rate_load{*rate, this->admission_control.demand(now)};
   }
   return load;
 }
--- a/daemon/proxy/own_server.h
+++ b/daemon/proxy/own_server.h
@@ -1,8 +1,8 @@
-// The server beside this proxy: what it reports, its connections, its health and its load.
+// The local server, which runs beside this proxy: its reports, connections, health and load.
 //
-// Owns everything that is known of the server and admission to it; what is known of a former
-// incarnation goes when another one reports itself. Relies on an event loop that outlives it, on
-// whose thread it is used.
+// Owns the server's state and the admission of requests to it. State of a former incarnation is
+// dropped when another one reports itself. Relies on an event loop that outlives it and on whose
+// thread it is used.
 #pragma once
 
 #include <functional>
@@ -23,13 +23,13 @@
 
 namespace ramppond {
 
-/// How a request that was handed to admission and dispatched has ended.
+/// The end of a request that was admitted and dispatched.
 struct ended_run {
   std::string route;
   TimePoint begun{0};
   ServerOutcome outcome = ServerOutcome::kAnswered;
-  bool sent = true;                // to the server: some of it may have arrived
-  bool reused_connection = false;  // to the server; it had rested before
+  bool sent = true;                // sent to the server, which may have received part of it
+  bool reused_connection = false;  // a previously idle connection to the server was used
   Duration since_failed_call{0};   // see signal_of() in core/admission/run_outcome.h
 };
 
@@ -37,74 +37,75 @@
  public:
   own_server(EventLoop& loop, const HttpClientOptions& connections, Duration draining_admission);
 
-  /// Called when anything that others must know of the server has changed.
+  /// Called when state of the server that other proxies must know of has changed.
   std::function<void()> on_changed;
-  /// Called with an incarnation that is gone: its address refuses connections and none stands, or
-  /// another one runs there.
+  /// Called with an incarnation that is gone: its address refuses connections and none is open, or
+  /// another incarnation runs there.
   std::function<void(const std::string& incarnation)> on_gone;
 
   void on_heartbeat(const ServerHeartbeat& heartbeat);
   void on_leave(const ServerLeave& leave);
-  /// An answer of `incarnation` to a request that was dispatched at `begun` names this limit.
-  void on_named_limit(const std::string& incarnation, const named_limit& named, TimePoint begun);
-  /// An answer of `incarnation` says that it is leaving.
+  /// An answer of `incarnation` to a request dispatched at `begun` announced a rate limit.
+  void on_announced_limit(const std::string& incarnation, const named_limit& answered,
+                          TimePoint begun);
+  /// An answer of `incarnation` announced that it is leaving.
   void on_leaving_answer(const std::string& incarnation);
-  /// A peer was told this limit by an answer of `incarnation`.
-  void on_told_limit(const std::string& incarnation, request_rate told);
-  /// The server said that it is another one than `incarnation`.
+  /// A peer reports the rate limit that an answer of `incarnation` announced to it.
+  void on_limit_from_peer(const std::string& incarnation, request_rate reported);
+  /// The server reported that it is not `incarnation`.
   void on_wrong_instance(const std::string& incarnation);
   /// The server's address refused a connection meant for `incarnation`. Returns whether other
-  /// connections to it stand.
+  /// connections to it are open.
   auto on_connection_refused(const std::string& incarnation) -> bool;
-  /// Takes over the connections that each service's servers accept.
+  /// Sets the services and the maximum number of connections that their servers accept.
   void set_services(const std::vector<ServiceDefinition>& services);
 
   /// Whether the configuration in force defines `service`.
   [[nodiscard]] auto is_service(const std::string& service) const -> bool;
-  /// The fence: whether the server takes requests for `incarnation` of `service`.
+  /// The fence: whether the server accepts requests for `incarnation` of `service`.
   [[nodiscard]] auto fence(const std::string& incarnation, const std::string& service) const
       -> FenceVerdict;
-  /// Whether the circuit breaker lets a request go to the server now.
+  /// Whether the circuit breaker admits a request now.
   auto breaker_admits(bool retryable) -> bool;
-  /// How long the server takes for requests of `route`; nothing before it has done one.
+  /// The service time of requests of `route`; std::nullopt before the first one has completed.
   [[nodiscard]] auto service_time(const std::string& route) const -> std::optional<Duration>;
   /// A request of `route` was dispatched.
   void on_begun(const std::string& route, TimePoint now);
-  /// To be called once for each request that was dispatched.
+  /// Must be called once for each dispatched request.
   void on_ended(const ended_run& run);
 
-  /// A request was refused for the limit that the server names.
-  void on_refused_for_rate() { this->beyond_rate += 1; }
+  /// A request was refused because of the announced rate limit.
+  void on_refused_for_rate() { this->refused_for_rate += 1; }
 
-  /// The load, as told with the answer to a request of `route`.
+  /// The load to report with the answer to a request of `route`.
   [[nodiscard]] auto load(const std::string& route) const -> ServerLoad;
 
-  /// The limit that the server names at present.
-  [[nodiscard]] auto limit() const -> const limit_in_force& { return this->named; }
-  /// Writes the line `server_limit_use` if the server names a limit at present. To be called with
-  /// the counters.
+  /// The rate limit that the server currently announces.
+  [[nodiscard]] auto limit() const -> const limit_in_force& { return this->announced_limit; }
+  /// Logs the event `server_limit_use` if the server currently announces a rate limit. Call
+  /// whenever the counters are logged.
   void log_limit_use() const;
 
   [[nodiscard]] auto reports() const -> const LocalServer& { return this->server; }
   [[nodiscard]] auto connections() -> HttpClientPool& { return this->pool; }
-  [[nodiscard]] auto admission() -> ServerAdmission& { return this->admitted; }
+  [[nodiscard]] auto admission() -> ServerAdmission& { return this->admission_control; }
 
  private:
-  void report_change();
+  void on_server_changed();
   void apply_rate(const std::optional<request_rate>& before);
-  void log_unreadable(const std::string& incarnation, const named_limit& named);
+  void log_unreadable(const std::string& incarnation, const named_limit& answered);
   void apply_limits();
-  void tell_breaker(const ended_run& run, TimePoint now);
+  void update_breaker(const ended_run& run, TimePoint now);
 
   HttpClientPool pool;
   LocalServer server;
-  ServerAdmission admitted;
-  service_times times;
+  ServerAdmission admission_control;
+  service_times service_durations;
   circuit_breaker breaker;
-  limit_in_force named;
-  std::uint64_t dispatched = 0;    // requests, since the start of this proxy
-  std::uint64_t beyond_rate = 0;   // refused for the limit, since then
-  std::string judged_incarnation;  // that `times`, `breaker` and `named` are about
+  limit_in_force announced_limit;
+  std::uint64_t dispatched = 0;        // requests since the start of this proxy
+  std::uint64_t refused_for_rate = 0;  // requests refused for the announced limit since then
+  std::string tracked_incarnation;     // of service_durations, breaker and announced_limit
   DecisionLimit unreadable_log{"server_limit_unreadable"};
   std::vector<ServiceDefinition> services;
 };
--- a/daemon/proxy/peer_headers.cc
+++ b/daemon/proxy/peer_headers.cc
@@ -10,17 +10,17 @@
 namespace {
 
 constexpr std::string_view kPrefix = "Ramppond-";
-constexpr double kLongestMs = 1e10;
+constexpr double kMaxMilliseconds = 1e10;
 constexpr char kNoBody[] = "none";
 constexpr char kChunkedBody[] = " chunked";
-constexpr std::size_t kMostServices = 32;
+constexpr std::size_t kMaxOverloadEntries = 32;
 constexpr double kThousand = 1000;
-constexpr std::uint64_t kMostPermille = 1000000;
+constexpr std::uint64_t kMaxPermille = 1000000;
 
-// Values beyond all use are taken for the largest one.
+// Converts to thousandths; unreasonably large values are clamped.
 std::uint64_t thousandths(double value) {
-  constexpr double kMost = 1e12;
-  return static_cast<std::uint64_t>(std::llround(std::min(value, kMost) * kThousand));
+  constexpr double kMaxThousandths = 1e12;
+  return static_cast<std::uint64_t>(std::llround(std::min(value, kMaxThousandths) * kThousand));
 }
 
 std::uint64_t permille(shed_level level) {
@@ -28,7 +28,7 @@
 }
 
 shed_level levelOf(std::uint64_t permille) {
-  return {static_cast<double>(std::min(permille, kMostPermille)) / kThousand};
+  return {static_cast<double>(std::min(permille, kMaxPermille)) / kThousand};
 }
 
 }  // namespace
@@ -88,7 +88,8 @@
     return levels;
   }
   std::istringstream entries(*text);
-  for (std::string entry; std::getline(entries, entry, ',') && levels.size() < kMostServices;) {
+  for (std::string entry;
+       std::getline(entries, entry, ',') && levels.size() < kMaxOverloadEntries;) {
     const std::size_t equals = entry.find('=');
     if (equals == 0 || equals == std::string::npos) {
       continue;
@@ -123,7 +124,7 @@
   return load;
 }
 
-std::string formatBodyForm(const BodyForm& form) {
+std::string formatWithheldBody(const WithheldBody& form) {
   switch (form.framing) {
     case BodyFraming::kNone:
       return kNoBody;
@@ -135,9 +136,9 @@
   return kNoBody;
 }
 
-std::optional<BodyForm> parseBodyForm(const std::string& text) {
+std::optional<WithheldBody> parseWithheldBody(const std::string& text) {
   if (text == kNoBody) {
-    return BodyForm{};
+    return WithheldBody{};
   }
   char* end = nullptr;
   const std::uint64_t bytes = std::strtoull(text.c_str(), &end, 10);
@@ -145,10 +146,11 @@
     return std::nullopt;
   }
   if (*end == '\0') {
-    return BodyForm{bytes, BodyFraming::kLength};
+    return WithheldBody{bytes, BodyFraming::kLength};
   }
-  return end == std::string(kChunkedBody) ? std::optional<BodyForm>({bytes, BodyFraming::kChunked})
-                                          : std::nullopt;
+  return end == std::string(kChunkedBody)
+             ? std::optional<WithheldBody>({bytes, BodyFraming::kChunked})
+             : std::nullopt;
 }
 
 std::optional<Duration> parseMilliseconds(const std::string* text) {
@@ -161,7 +163,7 @@
   if (!whole || !std::isfinite(value) || value < 0) {
     return std::nullopt;
   }
-  return Duration(static_cast<std::int64_t>(std::min(value, kLongestMs) * 1000));
+  return Duration(static_cast<std::int64_t>(std::min(value, kMaxMilliseconds) * 1000));
 }
 
 std::string formatMilliseconds(Duration time) {
--- a/daemon/proxy/peer_monitor.cc
+++ b/daemon/proxy/peer_monitor.cc
@@ -8,8 +8,8 @@
 namespace ramppond {
 
 peer_monitor::peer_monitor(InstanceDirectory& directory, peer_pools& pools,
-                           const std::set<ForwardedRequest*>& under_way, proxy_counters& counters)
-    : directory(directory), pools(pools), under_way(under_way), counters(counters) {}
+                           const std::set<ForwardedRequest*>& attempting, proxy_counters& counters)
+    : directory(directory), pools(pools), attempting(attempting), counters(counters) {}
 
 void peer_monitor::check() {
   const auto changes = this->directory.checkLiveness(EventLoop::now());
@@ -24,7 +24,7 @@
 void peer_monitor::ping(KnownInstance& instance) {
   this->counters.pings += 1;
   const auto& address = instance.record.proxy_address;
-  this->pings[address] = peer_ping::send(this->pools.to(address), this->directory, instance);
+  this->pings[address] = peer_ping::send(this->pools.pool_for(address), this->directory, instance);
 }
 
 void peer_monitor::on_silent(KnownInstance& instance) {
@@ -33,10 +33,10 @@
   this->pools.close_idle_to(address);
   logEvent(EventLoop::now().count(), "peer_silent",
            {{"peer", address}, {"waiting", std::to_string(instance.sent)}});
-  // A request that is told may end, and others begin.
+  // Copied first: notified requests may end, and others may start.
   auto requests = std::vector<std::shared_ptr<ForwardedRequest>>();
-  requests.reserve(this->under_way.size());
-  for (auto* request : this->under_way) {
+  requests.reserve(this->attempting.size());
+  for (auto* request : this->attempting) {
     requests.push_back(request->shared_from_this());
   }
   for (const auto& request : requests) {
--- a/daemon/proxy/peer_monitor.h
+++ b/daemon/proxy/peer_monitor.h
@@ -1,8 +1,8 @@
-// Watches the peers that let requests wait: pings them, and moves requests away from those that
-// fell silent.
+// Monitors the peers that have requests waiting: pings them, and moves requests away from peers
+// that stopped answering.
 //
-// Carries out what core/placement/peer_liveness.h decides. Relies on a directory, pools, counters
-// and a set of requests that outlive it; on the thread of the event loop.
+// Applies the decisions of core/placement/peer_liveness.h. Relies on a directory, pools, counters
+// and a set of requests that outlive it. Used on the event loop's thread.
 #pragma once
 
 #include <map>
@@ -21,11 +21,11 @@
 
 class peer_monitor {
  public:
-  /// `under_way` holds the requests with an attempt under way; they are told of silent peers.
+  /// `attempting` holds the requests with an attempt in flight; they are notified of silent peers.
   peer_monitor(InstanceDirectory& directory, peer_pools& pools,
-               const std::set<ForwardedRequest*>& under_way, proxy_counters& counters);
+               const std::set<ForwardedRequest*>& attempting, proxy_counters& counters);
 
-  /// To be called often beside the time after which a peer counts as silent.
+  /// Must be called at intervals much shorter than the time after which a peer counts as silent.
   void check();
 
  private:
@@ -34,10 +34,10 @@
 
   InstanceDirectory& directory;
   peer_pools& pools;
-  const std::set<ForwardedRequest*>& under_way;
+  const std::set<ForwardedRequest*>& attempting;
   proxy_counters& counters;
-  // The last ping to each peer, by address. Held until the next one: the pool keeps no handler
-  // alive.
+  // The last ping to each peer, by address. Kept until the next one, since the pool does not keep
+  // its handler alive.
   std::map<std::string, std::shared_ptr<peer_ping>> pings;
 };
 
--- a/daemon/proxy/peer_ping.h
+++ b/daemon/proxy/peer_ping.h
@@ -1,8 +1,8 @@
-// Asks a peer whether it still serves, apart from what its server does.
+// Checks whether a peer still answers, independently of its server.
 //
-// Pings run over the connections that requests use. A proxy answers one at once with its server's
-// load; see core/placement/peer_liveness.h for what follows from an answer and from its lack. On
-// the thread of the event loop.
+// Pings use the same connections as requests. A proxy answers a ping at once with its server's
+// load; core/placement/peer_liveness.h judges answers and missing answers. Used on the event loop's
+// thread.
 #pragma once
 
 #include <memory>
@@ -15,8 +15,8 @@
 
 class peer_ping : public ClientHandler {
  public:
-  /// Sends a ping to the proxy beside `instance`, which must outlive the loop as `directory` must.
-  /// The ping ends unheard when what is returned goes.
+  /// Sends a ping to the proxy beside `instance`. `instance` and `directory` must outlive the event
+  /// loop. Destroying the returned ping discards its answer.
   static auto send(HttpClientPool& pool, InstanceDirectory& directory, KnownInstance& instance)
       -> std::shared_ptr<peer_ping>;
 
@@ -34,7 +34,7 @@
 };
 
 [[nodiscard]] auto is_ping(const HttpHead& request) -> bool;
-/// Answers a ping with the load of the own server.
+/// Answers a ping with the load of the local server.
 void answer_ping(ServerExchange& exchange, const ServerLoad& load);
 
 }  // namespace ramppond
--- a/daemon/proxy/peer_pools.cc
+++ b/daemon/proxy/peer_pools.cc
@@ -8,8 +8,9 @@
 namespace {
 
 constexpr auto connect_timeout = milliseconds(300);
-// A peer whose machine is cut off acknowledges nothing. With more than this, a request that may be
-// retried has no time left for that; with less, a short loss of packets ends sound connections.
+// A peer whose machine is disconnected acknowledges nothing. With a longer timeout, a request that
+// may be retried has no time left for the retry; with a shorter one, brief packet loss closes
+// healthy connections.
 constexpr auto unacknowledged_timeout = seconds(1);
 constexpr auto idle_timeout = seconds(20);
 
@@ -18,7 +19,7 @@
 peer_pools::peer_pools(EventLoop& loop, std::string id_header)
     : loop(loop), id_header(std::move(id_header)) {}
 
-auto peer_pools::to(const std::string& address) -> HttpClientPool& {
+auto peer_pools::pool_for(const std::string& address) -> HttpClientPool& {
   auto& pool = this->pools[address];
   if (pool == nullptr) {
     auto options = HttpClientOptions();
--- a/daemon/proxy/peer_pools.h
+++ b/daemon/proxy/peer_pools.h
@@ -1,6 +1,6 @@
-// The connections of a proxy to its peers, a pool for each.
+// Connection pools of a proxy to its peers, one for each peer.
 //
-// Owns the pools. Relies on an event loop that outlives it, on whose thread it is used.
+// Owns the pools. Relies on an event loop that outlives it and on whose thread it is used.
 #pragma once
 
 #include <map>
@@ -14,17 +14,17 @@
 
 class peer_pools {
  public:
-  /// `id_header` names the header by which an answer is matched to its request.
+  /// `id_header` is the name of the header that matches an answer to its request.
   peer_pools(EventLoop& loop, std::string id_header);
 
-  /// The pool to the peer at `address` (HOST:PORT); made when first needed, and kept.
-  auto to(const std::string& address) -> HttpClientPool&;
+  /// The pool for the peer at `address` (HOST:PORT). Created on first use and kept.
+  auto pool_for(const std::string& address) -> HttpClientPool&;
 
-  /// Closes idle connections to a peer whose process may be gone: the next requests would be lost
-  /// on them.
+  /// Closes idle connections to a peer whose process may be gone, since the next requests on them
+  /// would be lost.
   void close_idle_to(const std::string& address);
 
-  /// Closes connections that have been idle for too long; call once a second.
+  /// Closes connections that have exceeded the idle timeout. Call once a second.
   void sweep();
 
  private:
--- a/daemon/proxy/proxy_context.cc
+++ b/daemon/proxy/proxy_context.cc
@@ -11,7 +11,7 @@
   HttpClientOptions options;
   options.endpoint = settings.server_address;
   options.connect_timeout = kServerConnectTimeout;
-  options.keep_when_scarce = true;  // A new connection costs the server a slot for a moment.
+  options.keep_when_scarce = true;  // A new connection briefly occupies a slot of the server.
   options.id_header = api.headers().request_id;
   return options;
 }
@@ -34,7 +34,7 @@
       guard(*this),
       peers(event_loop, external.headers().request_id),
       budgets(bounds.retry_ratio, bounds.retry_extra),
-      monitor(directory, peers, under_way, counters),
+      monitor(directory, peers, attempting, counters),
       waiting(event_loop, own.admission()) {
   own.on_gone = [this](const std::string& incarnation) { guard.on_server_gone(incarnation); };
   if (settings.max_descriptors > 0) {
--- a/daemon/proxy/proxy_context.h
+++ b/daemon/proxy/proxy_context.h
@@ -1,8 +1,8 @@
-// What the parts of a running proxy share.
+// State shared by the parts of a running proxy.
 //
-// Owns the parts that more than one path of requests uses. A part with a job of its own is a class
-// that takes what it uses; ForwardedRequest, InboundRequest and crash_guard take this context. On
-// the thread of the event loop.
+// Owns the parts that both forwarded and inbound requests use. Most parts take only what they need;
+// ForwardedRequest, InboundRequest and crash_guard take the whole context. Used on the event loop's
+// thread.
 #pragma once
 
 #include <cstdint>
@@ -36,7 +36,8 @@
 
 namespace ramppond {
 
-/// A configuration in force and its routes; requests hold on to the one that they began with.
+/// A configuration in force and its derived lookup tables. A request keeps the one that it started
+/// with.
 struct TrafficInForce {
   explicit TrafficInForce(TrafficConfiguration taken)
       : configuration(std::move(taken)),
@@ -62,26 +63,28 @@
   OperatingBounds bounds;
   Random random;
   std::shared_ptr<const TrafficInForce> traffic;
-  authority_lease lease;  ///< On keys.
+  authority_lease lease;  ///< Lease on judging API keys.
   quota_gate quotas;
   InstanceDirectory directory;
   proxy_counters counters;
   own_server own;
-  call_attribution calls;   ///< Of the own server.
-  overload_below overload;  ///< By the routes of requests that begin on this machine.
-  crash_guard guard;        ///< Of the own server.
+  call_attribution calls;   ///< Calls of the local server.
+  overload_below overload;  ///< By route of the requests that originate on this machine.
+  crash_guard guard;        ///< Guards the local server.
   peer_pools peers;
   retry_budgets budgets;
-  std::set<ForwardedRequest*> under_way;  ///< Those with an attempt under way.
+  std::set<ForwardedRequest*> attempting;  ///< Requests with an attempt in flight.
   peer_monitor monitor;
   waiting_requests waiting;
   std::function<void()> on_tenant_surge;
-  TimePoint last_failed_forward{0};  ///< When a request that began here last ended without success.
-  bool refuse_peers = false;         ///< This proxy ends soon: nothing new may begin at its server.
-  DecisionLimit own_answer_log{"own_answer"};    ///< Answers made here in place of a server's.
+  /// When a request that originated here last ended without success.
+  TimePoint last_failed_forward{0};
+  /// Set shortly before this proxy ends: no new request may start at its server.
+  bool refuse_peers = false;
+  DecisionLimit own_answer_log{"own_answer"};    ///< Answers given here in place of a server's.
   DecisionLimit retry_log{"repeat"};             ///< Retries.
-  DecisionLimit refusal_log{"inbound_refused"};  ///< Requests of peers that were not run here.
-  DecisionLimit limit_log{"inbound_limited"};    ///< Of these, for the rate that the server names.
+  DecisionLimit refusal_log{"inbound_refused"};  ///< Peers' requests that were refused here.
+  DecisionLimit limit_log{"inbound_limited"};    ///< Those refused for the announced rate limit.
 };
 
 }  // namespace ramppond
--- a/daemon/proxy/proxy_process.cc
+++ b/daemon/proxy/proxy_process.cc
@@ -13,13 +13,14 @@
 namespace ramppond {
 namespace {
 
-constexpr std::uint32_t kCounterSeconds = 5;
+constexpr std::uint32_t kCounterLogSeconds = 5;
 constexpr Duration kLivenessInterval = milliseconds(100);
-// A coordinator that is asked answers each second: one that is not heard for this long is not asked
-// any more, and would otherwise hold a connection of every proxy that ever asked it.
+// Idle timeout of connections to coordinators. A coordinator that is polled answers every second:
+// one that has been quiet for this long is no longer polled, and would otherwise hold a connection
+// from every proxy that ever polled it.
 constexpr Duration kMemberConnectionIdle = seconds(5);
 
-// Orders the starts of one proxy: later ones have higher numbers unless the clock ran backwards,
+// Orders the starts of one proxy: later ones have higher numbers unless the clock was set back,
 // which ProxySession corrects.
 std::uint64_t incarnationNow() {
   return static_cast<std::uint64_t>(
@@ -27,8 +28,9 @@
           .count());
 }
 
-// To a request of a peer that crosses the end of its connection: it was not read.
-std::string farewellToPeers() {
+// The response to a peer's request that arrives while its connection is being closed: the request
+// was not read.
+std::string connectionClosingResponse() {
   HttpHead head;
   head.status = kUnavailable;
   head.content_length = 0;
@@ -41,7 +43,7 @@
   HttpServerOptions options;
   options.max_header_bytes = 131072;
   options.idle_timeout = seconds(60);
-  options.farewell = farewellToPeers();
+  options.farewell = connectionClosingResponse();
   return options;
 }
 
@@ -92,11 +94,11 @@
       poll_timer_(loop_),
       second_timer_(loop_),
       liveness_timer_(loop_) {
-  context_.own.on_changed = [this] { tellOwnRecord(); };
+  context_.own.on_changed = [this] { publishOwnRecord(); };
   context_.on_tenant_surge = [this] { tenant_reports_.report_soon(); };
-  stop_.on_begun = [this] { tellOwnRecord(); };
+  stop_.on_begun = [this] { publishOwnRecord(); };
   stop_.on_checked = [this](bool refuse_peers) { context_.refuse_peers = refuse_peers; };
-  stop_.on_ended = [this](const stop_load& cut) { onStopped(cut); };
+  stop_.on_ended = [this](const stop_load& remaining) { onStopped(remaining); };
   context_.guard.on_evidence = [this](const instance_evidence& evidence) {
     session_.reportEvidence(evidence, EventLoop::now());
     poll();
@@ -110,8 +112,8 @@
     }
   }
   waitForSignal();
-  tellOwnRecord();
-  everySecond();
+  publishOwnRecord();
+  onSecondElapsed();
   checkPeers();
   tenant_reports_.report();
   logEvent(EventLoop::now().count(), "started",
@@ -133,7 +135,7 @@
   answer_empty_object(*exchange, ready ? kOk : kUnavailable);
 }
 
-void ProxyProcess::tellOwnRecord() {
+void ProxyProcess::publishOwnRecord() {
   InstanceRecord record = context_.own.reports().record();
   record.proxy_address = context_.settings.peer_address.toString();
   record.zone = context_.settings.zone;
@@ -150,19 +152,20 @@
   auto outgoing = session_.takePoll(now);
   if (outgoing) {
     const std::uint64_t poll_id = outgoing->poll_id;
-    channels_.request(outgoing->address, outgoing->request, outgoing->timeout,
-                      [this, poll_id, asked = now](const std::optional<ControlReply>& reply) {
-                        const std::string before = session_.upstream();
-                        if (session_.onReply(poll_id, reply, EventLoop::now())) {
-                          context_.lease.on_proven(asked);
-                        }
-                        if (session_.upstream() != before) {
-                          logEvent(EventLoop::now().count(), "control_member",
-                                   {{"before", before}, {"now", session_.upstream()}});
-                        }
-                        takeNews();
-                        poll();
-                      });
+    channels_.request(
+        outgoing->address, outgoing->request, outgoing->timeout,
+        [this, poll_id, requested_at = now](const std::optional<ControlReply>& reply) {
+          const std::string before = session_.upstream();
+          if (session_.onReply(poll_id, reply, EventLoop::now())) {
+            context_.lease.on_proven(requested_at);
+          }
+          if (session_.upstream() != before) {
+            logEvent(EventLoop::now().count(), "control_member",
+                     {{"before", before}, {"now", session_.upstream()}});
+          }
+          applySessionUpdates();
+          poll();
+        });
   }
   const auto due = session_.nextPoll();
   if (due) {
@@ -170,13 +173,13 @@
   }
 }
 
-void ProxyProcess::takeNews() {
+void ProxyProcess::applySessionUpdates() {
   for (const InstanceRecord& record : session_.takeInstances()) {
     if (context_.directory.offer(record)) {
       context_.peers.close_idle_to(record.proxy_address);
     }
   }
-  context_.guard.take(session_.takeEvidence());
+  context_.guard.merge_records(session_.takeEvidence());
   if (!session_.takeTrafficChanged()) {
     return;
   }
@@ -211,16 +214,17 @@
   stop_.begin();
 }
 
-void ProxyProcess::onStopped(const stop_load& cut) {
+void ProxyProcess::onStopped(const stop_load& remaining) {
   logCounters();
   logEvent(EventLoop::now().count(), "stopped",
-           {{"requests_cut", std::to_string(cut.requests)},
-            {"connections_cut", std::to_string(cut.connections)}});
+           {{"requests_cut", std::to_string(remaining.requests)},
+            {"connections_cut", std::to_string(remaining.connections)}});
   loop_.stop();
 }
 
-// The file may change without a signal. Only the seeds can change while the process runs.
-void ProxyProcess::rereadSettings(bool asked) {
+// Called on SIGHUP and periodically, since the file may change without a signal. Only the seeds can
+// change while the process runs.
+void ProxyProcess::rereadSettings(bool by_signal) {
   if (!settings_watch_.changed()) {
     return;
   }
@@ -232,7 +236,7 @@
     return;
   }
   session_.setSeeds(addressesAtPort(settings->seeds, settings->member_port));
-  logEvent(now, "settings_taken", {{"signal", asked ? "yes" : "no"}});
+  logEvent(now, "settings_taken", {{"signal", by_signal ? "yes" : "no"}});
 }
 
 void ProxyProcess::checkPeers() {
@@ -240,17 +244,17 @@
   liveness_timer_.after(kLivenessInterval, [this] { checkPeers(); });
 }
 
-void ProxyProcess::everySecond() {
+void ProxyProcess::onSecondElapsed() {
   channels_.closeUnusedSince(EventLoop::now() - kMemberConnectionIdle);
   context_.own.connections().sweep();
   context_.peers.sweep();
   rereadSettings(false);
   seconds_ += 1;
   context_.budgets.share_among(context_.directory.size(), seconds(seconds_));
-  if (seconds_ % kCounterSeconds == 0) {
+  if (seconds_ % kCounterLogSeconds == 0) {
     logCounters();
   }
-  second_timer_.after(seconds(1), [this] { everySecond(); });
+  second_timer_.after(seconds(1), [this] { onSecondElapsed(); });
 }
 
 void ProxyProcess::logCounters() {
--- a/daemon/proxy/proxy_process.h
+++ b/daemon/proxy/proxy_process.h
@@ -1,7 +1,8 @@
-// The process ramppond-proxy: the forwarding path beside one server and the clients of one machine.
+// The ramppond-proxy process: the forwarding path for the local server and the clients of this
+// machine.
 //
 // Owns the event loop, the listeners, the session with the coordinators and all parts of the proxy,
-// joins them, and runs what happens at intervals. Decisions are in core/. One thread.
+// connects them, and runs the periodic tasks. Decisions are made in core/. Single-threaded.
 #pragma once
 
 #include <boost/asio/signal_set.hpp>
@@ -22,27 +23,28 @@
 
 class ProxyProcess {
  public:
-  /// `settings_path` is read again when it changes.
+  /// The file at `settings_path` is read again when it changes.
   ProxyProcess(const ExternalApi& api, const OperatingBounds& bounds, const ProxySettings& settings,
                std::string settings_path);
 
-  /// Listens everywhere. Nothing on success, else the reason.
+  /// Starts all listeners. Returns std::nullopt on success, else the reason of the failure.
   std::optional<std::string> start();
-  /// Serves until a signal to stop has been obeyed.
+  /// Serves until the stop that SIGTERM or SIGINT requested is complete.
   void run() { loop_.run(); }
 
  private:
   void serveReadiness(const std::shared_ptr<ServerExchange>& exchange);
-  /// Asks a coordinator for news if one is to be asked now.
+  /// Polls a coordinator if a poll is due.
   void poll();
-  void takeNews();
-  /// The record of the own server changed: others are told with the next poll, which is due now.
-  void tellOwnRecord();
+  void applySessionUpdates();
+  /// Publishes the changed record of the local server with the next poll, which becomes due at
+  /// once.
+  void publishOwnRecord();
   void waitForSignal();
   void onSignal(int signal);
-  void onStopped(const stop_load& cut);
-  void rereadSettings(bool asked);
-  void everySecond();
+  void onStopped(const stop_load& remaining);
+  void rereadSettings(bool by_signal);
+  void onSecondElapsed();
   void checkPeers();
   void logCounters();
 
--- a/daemon/proxy/proxy_stop.h
+++ b/daemon/proxy/proxy_stop.h
@@ -1,7 +1,7 @@
-// Carries out a planned stop of the proxy: asks everybody to leave, closes, and ends.
+// Performs a planned stop of the proxy: drains, closes the connections, and ends.
 //
-// core/lifecycle/planned_stop.h decides which phase begins when. Relies on the two servers, which
-// outlive it; on the thread of the event loop.
+// core/lifecycle/planned_stop.h decides when each phase starts. Relies on the two servers, which
+// outlive it. Used on the event loop's thread.
 #pragma once
 
 #include <functional>
@@ -16,19 +16,19 @@
 
 class proxy_stop {
  public:
-  /// `clients` and `peers` are closed on the way.
+  /// Closes `clients` and `peers` during the stop.
   proxy_stop(EventLoop& loop, const OperatingBounds& bounds, StreamHttpServer& clients,
              StreamHttpServer& peers);
 
-  /// Called once, when the draining begins: others must be told.
+  /// Called once, when draining starts and other proxies must be told.
   std::function<void()> on_begun;
   /// Called at each check with whether requests of peers are refused from now on.
   std::function<void(bool refuse_peers)> on_checked;
-  /// Called once, when everything has ended or the platform's grace is nearly over, with what is
-  /// still under way. The process may end.
-  std::function<void(const stop_load& cut)> on_ended;
+  /// Called once, when everything has ended or the platform's grace period is nearly over, with
+  /// what is still in flight. The process may exit afterwards.
+  std::function<void(const stop_load& remaining)> on_ended;
 
-  /// Begins the stop; a second call does nothing.
+  /// Starts the stop. Further calls have no effect.
   void begin();
   [[nodiscard]] auto has_begun() const -> bool { return this->stop.has_value(); }
 
--- a/daemon/proxy/server_probe.cc
+++ b/daemon/proxy/server_probe.cc
@@ -3,9 +3,9 @@
 namespace ramppond {
 namespace {
 
-// On the machine's own address the answer comes at once. Shorter, and a busy machine
-// answers too late to show a crash; longer, and a crash is reported that much later.
-constexpr auto probe_time = milliseconds(500);
+// A connection on the same machine is answered at once. With a shorter timeout, a busy machine
+// answers too late to show a crash; with a longer one, the report of a crash is delayed by as much.
+constexpr auto probe_timeout = milliseconds(500);
 
 }  // namespace
 
@@ -13,7 +13,7 @@
     : TcpConnection(loop), done(std::move(done)) {}
 
 void server_probe::start(const Endpoint& endpoint) {
-  this->connect(endpoint, probe_time);
+  this->connect(endpoint, probe_timeout);
 }
 
 void server_probe::onConnected() {
--- a/daemon/proxy/server_probe.h
+++ b/daemon/proxy/server_probe.h
@@ -1,8 +1,8 @@
-// Asks whether a process listens at a server's address, by one connection on which
+// Checks whether a process listens at a server's address by opening one connection, on which
 // nothing is sent.
 //
-// Owns that connection. Used when all connections to the server are gone, to tell a
-// crash from lost connections. On the thread of the event loop.
+// Owns that connection. Used when all connections to the server are gone, to tell a crash from lost
+// connections. Used on the event loop's thread.
 #pragma once
 
 #include <cstdint>
@@ -15,12 +15,12 @@
 enum class probe_answer : std::uint8_t {
   listens,
   refuses,
-  unknown,  // no answer in time, or this process has no socket left
+  unknown,  // no answer in time, or this process is out of sockets
 };
 
 class server_probe : public TcpConnection {
  public:
-  /// Calls back once, but not after abort().
+  /// Calls `done` once, but not after abort().
   server_probe(EventLoop& loop, std::function<void(probe_answer)> done);
   void start(const Endpoint& endpoint);
 
--- a/daemon/proxy/server_reports.cc
+++ b/daemon/proxy/server_reports.cc
@@ -8,7 +8,7 @@
 namespace ramppond {
 namespace {
 
-constexpr auto most_report_bytes = std::size_t(65536);
+constexpr auto max_report_bytes = std::size_t(65536);
 
 }  // namespace
 
@@ -24,12 +24,12 @@
   }
   const auto weak = std::weak_ptr<ServerExchange>(exchange);
   exchange->setHandler(std::make_shared<WholeBodyHandler>(
-      most_report_bytes, [this, call, weak](const std::string& body) {
+      max_report_bytes, [this, call, weak](const std::string& body) {
         const auto alive = weak.lock();
         if (alive == nullptr) {
           return;
         }
-        const auto reason = this->take(call, body);
+        const auto reason = this->handle(call, body);
         if (!reason.empty()) {
           this->log_refused(call.instance_id, reason);
         }
@@ -37,12 +37,12 @@
       }));
 }
 
-auto server_reports::take(const ExternalCall& call, const std::string& body) -> std::string {
-  return call.type == ExternalCallType::kLeave ? this->take_leave(call.instance_id, body)
-                                               : this->take_heartbeat(call.instance_id, body);
+auto server_reports::handle(const ExternalCall& call, const std::string& body) -> std::string {
+  return call.type == ExternalCallType::kLeave ? this->handle_leave(call.instance_id, body)
+                                               : this->handle_heartbeat(call.instance_id, body);
 }
 
-auto server_reports::take_leave(const std::string& instance_id, const std::string& body)
+auto server_reports::handle_leave(const std::string& instance_id, const std::string& body)
     -> std::string {
   const auto leave = this->api.parseLeave(instance_id, body);
   if (!leave.value) {
@@ -52,7 +52,7 @@
   return "";
 }
 
-auto server_reports::take_heartbeat(const std::string& instance_id, const std::string& body)
+auto server_reports::handle_heartbeat(const std::string& instance_id, const std::string& body)
     -> std::string {
   const auto heartbeat = this->api.parseHeartbeat(instance_id, body);
   if (!heartbeat.error.empty()) {
--- a/daemon/proxy/server_reports.h
+++ b/daemon/proxy/server_reports.h
@@ -1,8 +1,8 @@
-// Takes the reports of the own server: heartbeats, and that it leaves.
+// Receives the reports of the local server: heartbeats and leave announcements.
 //
-// Decodes them by the platform's interface, refuses what cannot be read or concerns no service that
-// is known here, and tells own_server. Relies on both of them, which outlive it; on the thread of
-// the event loop.
+// Decodes them by the platform's interface, rejects malformed ones and those for undefined
+// services, and passes the rest to own_server. Relies on both, which outlive it. Used on the event
+// loop's thread.
 #pragma once
 
 #include <memory>
@@ -17,24 +17,24 @@
 
 class server_reports {
  public:
-  /// `service` is known before the first configuration that defines services.
+  /// `service` is accepted even before the first configuration that defines services.
   server_reports(const ExternalApi& api, own_server& server, std::string service);
 
-  /// Answers one request at the address for reports: 200, 400 for a report that is refused, 404 for
-  /// anything else.
+  /// Answers one request at the report address: 200, 400 for a rejected report, 404 for anything
+  /// else.
   void serve(const std::shared_ptr<ServerExchange>& exchange);
 
  private:
-  /// These give why the report is refused; empty if it was taken.
-  auto take(const ExternalCall& call, const std::string& body) -> std::string;
-  auto take_leave(const std::string& instance_id, const std::string& body) -> std::string;
-  auto take_heartbeat(const std::string& instance_id, const std::string& body) -> std::string;
+  /// These return the reason for rejecting the report, or an empty string if it was accepted.
+  auto handle(const ExternalCall& call, const std::string& body) -> std::string;
+  auto handle_leave(const std::string& instance_id, const std::string& body) -> std::string;
+  auto handle_heartbeat(const std::string& instance_id, const std::string& body) -> std::string;
   void log_refused(const std::string& instance_id, const std::string& reason);
 
   const ExternalApi& api;
   own_server& server;
   std::string service;
-  DecisionLimit refused{"report_refused"};  // of the own server, or of another writer
+  DecisionLimit refused{"report_refused"};  // log limit for rejected reports of any sender
 };
 
 }  // namespace ramppond
--- a/daemon/proxy/tenant_reports.cc
+++ b/daemon/proxy/tenant_reports.cc
@@ -7,12 +7,13 @@
 namespace ramppond {
 namespace {
 
-// A tenant that begins to send many times its limit is held back a report and an answer later. With
-// more, it exceeds its burst and the slack of the platform's bound meanwhile; with less, the leader
-// of a large fleet spends its time on reports.
+// Interval between regular reports. A tenant that starts to send many times its limit is throttled
+// one report and one answer later. With a longer interval, it exceeds its burst and the tolerance
+// of the platform's bound meanwhile; with a shorter one, the leader of a large fleet spends its
+// time on reports.
 constexpr auto report_interval = milliseconds(250);
-// Between reports that a surge of some tenant asks for.
-constexpr auto least_interval = milliseconds(50);
+// Minimum time since the last report before a tenant's surge triggers another.
+constexpr auto min_report_interval = milliseconds(50);
 
 }  // namespace
 
@@ -42,22 +43,22 @@
   auto request = ControlRequest();
   request.type = ControlRequestType::kQuotaReport;
   request.quota_report = encode(*report);
-  const auto asked = EventLoop::now();
+  const auto requested_at = EventLoop::now();
   this->channels.request(
       this->session.leader(), request, 2 * report_interval,
-      [this, asked, sequence = report->sequence](const std::optional<ControlReply>& reply) {
-        this->on_reply(sequence, reply, asked);
+      [this, requested_at, sequence = report->sequence](const std::optional<ControlReply>& reply) {
+        this->on_reply(sequence, reply, requested_at);
       });
 }
 
 void tenant_reports::report_soon() {
-  if (EventLoop::now() - this->last_report >= least_interval) {
+  if (EventLoop::now() - this->last_report >= min_report_interval) {
     this->report();
   }
 }
 
 void tenant_reports::on_reply(std::uint64_t sequence, const std::optional<ControlReply>& reply,
-                              TimePoint asked) {
+                              TimePoint requested_at) {
   if (!reply) {
     return;
   }
@@ -67,7 +68,7 @@
   }
   const auto decision = decode<quota_answer>(reply->quota_answer);
   if (decision) {
-    this->quotas.on_answer(sequence, *decision, asked);
+    this->quotas.on_answer(sequence, *decision, requested_at);
   }
 }
 
--- a/daemon/proxy/tenant_reports.h
+++ b/daemon/proxy/tenant_reports.h
@@ -1,8 +1,8 @@
-// Reports to the leader of the control group what tenants have sent through this proxy, and takes
-// its decision on who is limited.
+// Reports the tenants' usage of this proxy to the leader of the control group, and applies its
+// decision on which tenants are limited.
 //
-// Relies on a session, channels, a gate and a directory that outlive it; on the thread of the event
-// loop.
+// Relies on a session, channels, a quota gate and a directory that outlive it. Used on the event
+// loop's thread.
 #pragma once
 
 #include <cstdint>
@@ -19,18 +19,20 @@
 
 class tenant_reports {
  public:
-  /// `own_address` names this proxy to the leader.
+  /// `own_address` identifies this proxy to the leader.
   tenant_reports(EventLoop& loop, ProxySession& session, ControlChannels& channels,
                  quota_gate& quotas, const InstanceDirectory& directory, std::string own_address);
 
-  /// Reports now if there is a leader and anything to report, and from then on at an interval.
+  /// Reports now if a leader is known and there is anything to report, and periodically from then
+  /// on.
   void report();
-  /// A tenant begins to send far more than its limit: reports ahead of time, unless the last report
-  /// is too recent.
+  /// Reports early because a tenant sends far more than its limit, unless the last report is too
+  /// recent.
   void report_soon();
 
  private:
-  void on_reply(std::uint64_t sequence, const std::optional<ControlReply>& reply, TimePoint asked);
+  void on_reply(std::uint64_t sequence, const std::optional<ControlReply>& reply,
+                TimePoint requested_at);
 
   ProxySession& session;
   ControlChannels& channels;
--- a/daemon/proxy/waiting_requests.cc
+++ b/daemon/proxy/waiting_requests.cc
@@ -8,8 +8,8 @@
 namespace ramppond {
 namespace {
 
-// What is due at once is not looked for more often than this.
-constexpr auto least_timer = milliseconds(1);
+// Minimum delay of the timer, even if the next event is already due.
+constexpr auto min_timer_delay = milliseconds(1);
 
 }  // namespace
 
@@ -23,7 +23,7 @@
 
 void waiting_requests::add(AdmissionId id, std::weak_ptr<InboundRequest> request) {
   this->requests[id] = std::move(request);
-  this->pump();
+  this->dispatch_ready();
 }
 
 void waiting_requests::withdraw(AdmissionId id) {
@@ -31,22 +31,22 @@
   this->requests.erase(id);
 }
 
-auto waiting_requests::take(AdmissionId id) -> std::shared_ptr<InboundRequest> {
+auto waiting_requests::remove(AdmissionId id) -> std::shared_ptr<InboundRequest> {
   auto request = this->requests[id].lock();
   this->requests.erase(id);
   return request;
 }
 
-void waiting_requests::pump() {
+void waiting_requests::dispatch_ready() {
   const auto now = EventLoop::now();
   for (const auto id : this->admission.takeExpired(now)) {
-    const auto request = this->take(id);
+    const auto request = this->remove(id);
     if (request != nullptr) {
-      request->onPatienceEnded();
+      request->onQueueTimeout();
     }
   }
   while (const auto id = this->admission.takeDispatchable(now)) {
-    const auto request = this->take(*id);
+    const auto request = this->remove(*id);
     if (request == nullptr) {
       this->admission.onFinished(now, ServerOutcome::kWithdrawn, now);
       this->admission.onNeverSent(now);
@@ -60,7 +60,8 @@
     next = std::min(*place, next.value_or(*place));
   }
   if (next) {
-    this->timer.after(std::max<Duration>(*next - now, least_timer), [this] { this->pump(); });
+    this->timer.after(std::max<Duration>(*next - now, min_timer_delay),
+                      [this] { this->dispatch_ready(); });
   }
 }
 
--- a/daemon/proxy/waiting_requests.h
+++ b/daemon/proxy/waiting_requests.h
@@ -1,8 +1,8 @@
-// The requests of peers that wait for room at the own server.
+// The requests of peers that are queued for the local server.
 //
-// Carries out what core/admission/server_admission.h decides: hands each request its turn or tells
-// it that its patience has ended. Relies on an event loop and on an admission that outlive it, and
-// on whose thread it is used. Holds no request alive.
+// Applies the decisions of core/admission/server_admission.h: dispatches each request in its turn,
+// or tells it that its maximum queueing time is over. Relies on an event loop and an admission that
+// outlive it, and runs on the loop's thread. Does not keep requests alive.
 #pragma once
 
 #include <map>
@@ -19,21 +19,22 @@
  public:
   waiting_requests(EventLoop& loop, ServerAdmission& admission);
 
-  /// An id for one request, not given before.
+  /// Returns a new id, unique within this proxy.
   auto next_id() -> AdmissionId;
 
-  /// The admission let `request` wait; its onAdmitted() or onPatienceEnded() follows.
+  /// Queues `request`, which the admission told to wait. Its onAdmitted() or onQueueTimeout()
+  /// follows.
   void add(AdmissionId id, std::weak_ptr<InboundRequest> request);
 
-  /// Its sender is gone: neither follows.
+  /// Removes a request whose sender is gone; neither callback follows.
   void withdraw(AdmissionId id);
 
-  /// Begins requests for which there is room now, and ends those that waited too long. To be called
-  /// when room came free; time is watched here.
-  void pump();
+  /// Dispatches requests for which there is room now, and ends those whose maximum queueing time is
+  /// over. Call whenever room becomes free; a timer covers the passing of time.
+  void dispatch_ready();
 
  private:
-  auto take(AdmissionId id) -> std::shared_ptr<InboundRequest>;
+  auto remove(AdmissionId id) -> std::shared_ptr<InboundRequest>;
 
   ServerAdmission& admission;
   LoopTimer timer;
--- a/tests/daemon/proxy/forwarded_attempt_test.cc
+++ b/tests/daemon/proxy/forwarded_attempt_test.cc
@@ -15,19 +15,19 @@
   bool may_have_run;
 };
 
-// Keeps the name of a test the same in every run.
+// Prints the case name, so that the test has the same name in every run.
 void PrintTo(const history_case& tested, std::ostream* out) {
   *out << tested.name;
 }
 
 class forwarded_history_table : public testing::TestWithParam<history_case> {};
 
-TEST_P(forwarded_history_table, counts_arrivals_and_possible_runs) {
+TEST_P(forwarded_history_table, record_updates_arrivals_and_may_have_run) {
   auto history = forwarded_history();
-  history.note(GetParam().end);
+  history.record(GetParam().end);
   EXPECT_EQ(history.arrivals, GetParam().arrivals);
   EXPECT_EQ(history.may_have_run, GetParam().may_have_run);
-  history.note(attempt_end::not_run);
+  history.record(attempt_end::not_run);
   EXPECT_EQ(history.arrivals, GetParam().arrivals + 1);
   EXPECT_EQ(history.may_have_run, GetParam().may_have_run);
 }
@@ -39,27 +39,27 @@
                                          history_case{"blocked", attempt_end::blocked, 0, false}),
                          [](const auto& info) { return std::string(info.param.name); });
 
-TEST(forwarded_history, notes_lost_servers_and_the_time_of_a_block) {
+TEST(forwarded_history, record_peer_answer_updates_lost_runs_and_block_time) {
   auto history = forwarded_history();
-  history.note(peer_answer{peer_outcome::not_run, "", std::nullopt});
+  history.record(peer_answer{peer_outcome::not_run, "", std::nullopt});
   EXPECT_EQ(history.lost_runs, 0U);
-  history.note(peer_answer{peer_outcome::unknown, "", std::nullopt});
+  history.record(peer_answer{peer_outcome::unknown, "", std::nullopt});
   EXPECT_EQ(history.lost_runs, 1U);
-  history.note(peer_answer{peer_outcome::blocked, "", seconds(2)});
+  history.record(peer_answer{peer_outcome::blocked, "", seconds(2)});
   EXPECT_EQ(history.lost_runs, 1U);
   EXPECT_EQ(history.blocked_for, Duration(seconds(2)));
 }
 
-/// Names of the marks that an attempt carries, in their order.
+/// Input of an attempt, and the header fields with its flags in the order in which they are sent.
 struct head_case {
   const char* name;
-  std::string marks;
+  std::string flags;
   bool is_call = false;
   RequestKind kind = RequestKind::kUnsafe;
   std::uint32_t lost_runs = 0;
   bool may_have_run = false;
   bool of_retried_run = false;
-  std::optional<double> told_rate = std::nullopt;  // requests a second
+  std::optional<double> told_rate = std::nullopt;  // requests per second
 };
 
 void PrintTo(const head_case& tested, std::ostream* out) {
@@ -68,18 +68,18 @@
 
 class head_for_peer_table : public testing::TestWithParam<head_case> {};
 
-TEST_P(head_for_peer_table, carries_the_terms_and_the_marks) {
+TEST_P(head_for_peer_table, includes_parameters_and_flags) {
   const auto& tested = GetParam();
   auto route = TrafficRoute();
   route.name = "lookup";
   route.kind = tested.kind;
   route.goal = seconds(3);
-  auto terms = forwarded_terms();
-  terms.route = &route;
-  terms.rank = 7;
-  terms.service = "records";
-  terms.is_call = tested.is_call;
-  terms.attributed.of_retry = tested.of_retried_run;
+  auto params = forwarded_params();
+  params.route = &route;
+  params.rank = 7;
+  params.service = "records";
+  params.is_call = tested.is_call;
+  params.attributed.of_retry = tested.of_retried_run;
   auto history = forwarded_history();
   history.lost_runs = tested.lost_runs;
   history.may_have_run = tested.may_have_run;
@@ -93,8 +93,8 @@
   const auto digest = std::string("d");
   const auto deadline = std::string("Deadline");
 
-  const auto head = head_for_peer(
-      {request, terms, history, instance, digest, deadline, milliseconds(100), milliseconds(9900)});
+  const auto head = head_for_peer({request, params, history, instance, digest, deadline,
+                                   milliseconds(100), milliseconds(9900)});
 
   auto text = std::string();
   for (const auto& field : head.fields) {
@@ -105,7 +105,7 @@
             "Host=h Deadline=9900 Ramppond-Instance=i-1 Ramppond-Service=records "
             "Ramppond-Route=lookup Ramppond-Digest=d Ramppond-Priority=7 "
             "Ramppond-Patience-Ms=" +
-                patience + " " + tested.marks);
+                patience + " " + tested.flags);
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/daemon/proxy/forwarded_body_test.cc
+++ b/tests/daemon/proxy/forwarded_body_test.cc
@@ -5,11 +5,11 @@
 namespace ramppond {
 namespace {
 
-TEST(forwarded_body, a_short_body_is_held_when_it_has_ended) {
+TEST(forwarded_body, short_body_is_buffered_when_ended) {
   auto body = forwarded_body();
-  body.count(5);
+  body.count_received(5);
   body.append("short");
-  EXPECT_FALSE(body.exceeds_hold());
+  EXPECT_FALSE(body.exceeds_buffer_limit());
   EXPECT_FALSE(body.ended());
   body.end();
   EXPECT_TRUE(body.ended());
@@ -17,18 +17,18 @@
   EXPECT_EQ(body.bytes(), "short");
 }
 
-TEST(forwarded_body, the_hold_is_exceeded_by_its_bound) {
+TEST(forwarded_body, buffer_limit_is_exceeded_at_the_maximum) {
   auto body = forwarded_body();
-  body.append(std::string(max_held_body - 1, 'x'));
-  EXPECT_FALSE(body.exceeds_hold());
+  body.append(std::string(max_buffered_body_bytes - 1, 'x'));
+  EXPECT_FALSE(body.exceeds_buffer_limit());
   body.append("x");
-  EXPECT_TRUE(body.exceeds_hold());
+  EXPECT_TRUE(body.exceeds_buffer_limit());
 }
 
-TEST(forwarded_body, a_streamed_body_stays_so_after_its_end) {
+TEST(forwarded_body, streamed_body_stays_streamed_when_ended) {
   auto body = forwarded_body();
   body.append("part");
-  body.stream();
+  body.start_streaming();
   EXPECT_TRUE(body.is_streamed());
   EXPECT_FALSE(body.ended());
   body.end();
@@ -36,12 +36,12 @@
   EXPECT_TRUE(body.ended());
 }
 
-TEST(forwarded_body, release_drops_what_is_held_and_keeps_the_count) {
+TEST(forwarded_body, release_buffer_drops_bytes_and_keeps_size) {
   auto body = forwarded_body();
-  body.count(4);
+  body.count_received(4);
   body.append("part");
-  body.stream();
-  body.release();
+  body.start_streaming();
+  body.release_buffer();
   EXPECT_EQ(body.bytes(), "");
   EXPECT_EQ(body.size(), 4U);
 }
--- a/tests/daemon/proxy/forwarded_body_wait_test.cc
+++ b/tests/daemon/proxy/forwarded_body_wait_test.cc
@@ -1,4 +1,4 @@
-// Bodies that are too long to be held, of requests that wait for a server of their service.
+// Request bodies that are too long to buffer, while the request waits for a server of its service.
 #include <gtest/gtest.h>
 
 #include "net/stream/http_head.h"
@@ -7,10 +7,10 @@
 namespace ramppond::stand_in {
 namespace {
 
-// More than a daemon holds, and less than the configuration allows.
+// Above the proxy's buffer limit and below the configured maximum body size.
 constexpr auto long_body_bytes = std::size_t(99000);
 
-TEST_F(ForwardingDay, ALongBodyIsWholeAfterAWaitForAServerAndRunsOnce) {
+TEST_F(ForwardingDay, LongBodyWaitingForServerArrivesCompleteAndRunsOnce) {
   for (const auto machine : {std::size_t(1), std::size_t(3)}) {
     this->day_.servers[machine]->beat("draining");
   }
@@ -36,8 +36,8 @@
   EXPECT_EQ(result.body.substr(result.body.size() - wanted.body.size()), wanted.body);
 }
 
-// The end of the request comes only after the interim answer, and nothing is under way before.
-TEST_F(ForwardingDay, ALongBodyThatComesInPiecesIsReadToTheEndThatIsHeldBack) {
+// The last chunk is sent only after the interim response, and nothing is in flight before.
+TEST_F(ForwardingDay, LongBodySentInPiecesIsReadUpToWithheldLastChunk) {
   const auto chunk = chunkBytes(std::string(long_body_bytes, 'a'));
   constexpr auto first_piece = std::size_t(70000);
   const auto head = std::string(
--- a/tests/daemon/proxy/forwarded_outcome_test.cc
+++ b/tests/daemon/proxy/forwarded_outcome_test.cc
@@ -15,19 +15,19 @@
   attempt_end end;
 };
 
-// Keeps the name of a test the same in every run.
+// Prints the case name, so that the test has the same name in every run.
 void PrintTo(const outcome_case& tested, std::ostream* out) {
   *out << tested.name;
 }
 
 class peer_outcome_table : public testing::TestWithParam<outcome_case> {};
 
-TEST_P(peer_outcome_table, is_read_with_its_reason) {
+TEST_P(peer_outcome_table, parse_returns_outcome_and_reason) {
   const auto& tested = GetParam();
   auto head = HttpHead();
   head.set("Ramppond-Outcome", tested.field);
   head.set("Ramppond-Barred-Ms", "250");
-  const auto answer = read_peer_answer(head);
+  const auto answer = parse_peer_answer(head);
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->outcome, tested.outcome);
   EXPECT_EQ(answer->reason, tested.field);
@@ -50,18 +50,18 @@
         outcome_case{"empty", "", peer_outcome::unknown, attempt_end::unknown}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(peer_outcome, an_answer_of_the_server_has_none) {
-  EXPECT_FALSE(read_peer_answer(HttpHead()));
+TEST(peer_outcome, server_answer_has_no_outcome) {
+  EXPECT_FALSE(parse_peer_answer(HttpHead()));
 }
 
-TEST(peer_outcome, a_block_of_unreadable_length_has_no_time) {
+TEST(peer_outcome, block_with_invalid_time_has_no_duration) {
   auto head = HttpHead();
   head.set("Ramppond-Outcome", "barred; it");
-  EXPECT_FALSE(read_peer_answer(head)->blocked_for);
+  EXPECT_FALSE(parse_peer_answer(head)->blocked_for);
   head.set("Ramppond-Barred-Ms", "soon");
-  EXPECT_FALSE(read_peer_answer(head)->blocked_for);
+  EXPECT_FALSE(parse_peer_answer(head)->blocked_for);
   head.set("Ramppond-Barred-Ms", "250");
-  EXPECT_EQ(read_peer_answer(head)->blocked_for, Duration(milliseconds(250)));
+  EXPECT_EQ(parse_peer_answer(head)->blocked_for, Duration(milliseconds(250)));
 }
 
 }  // namespace
--- a/tests/daemon/proxy/own_server_test.cc
+++ b/tests/daemon/proxy/own_server_test.cc
@@ -8,8 +8,8 @@
 namespace ramppond {
 namespace {
 
-// The circuit breaker opens at one more in a row.
-constexpr auto failures_short_of_opening = 5;
+// The circuit breaker opens after one more consecutive failure.
+constexpr auto failures_before_opening = 5;
 
 auto heartbeat_of(const std::string& instance, std::uint64_t sequence) -> ServerHeartbeat {
   auto heartbeat = ServerHeartbeat();
@@ -20,12 +20,12 @@
   return heartbeat;
 }
 
-class own_server_of_a_proxy : public testing::Test {
+class own_server_test : public testing::Test {
  protected:
-  own_server_of_a_proxy() : server(this->loop, {}, seconds(1)) {
-    this->server.on_changed = [this] { this->told.emplace_back("changed"); };
+  own_server_test() : server(this->loop, {}, seconds(1)) {
+    this->server.on_changed = [this] { this->notifications.emplace_back("changed"); };
     this->server.on_gone = [this](const std::string& incarnation) {
-      this->told.push_back("gone " + incarnation);
+      this->notifications.push_back("gone " + incarnation);
     };
   }
 
@@ -43,37 +43,38 @@
 
   EventLoop loop;
   own_server server;
-  std::vector<std::string> told;
+  std::vector<std::string> notifications;
 };
 
-TEST_F(own_server_of_a_proxy, tells_a_change_once) {
+TEST_F(own_server_test, heartbeat_reports_a_change_only_once) {
   const auto heartbeat = heartbeat_of("a", 1);
   this->server.on_heartbeat(heartbeat);
   const auto first = std::vector<std::string>{"gone " + ServerHeartbeat().incarnation(), "changed"};
-  EXPECT_EQ(this->told, first);
+  EXPECT_EQ(this->notifications, first);
   this->server.on_heartbeat(heartbeat_of("a", 2));
-  EXPECT_EQ(this->told, first);
+  EXPECT_EQ(this->notifications, first);
   EXPECT_EQ(this->server.fence(heartbeat.incarnation(), "desk"), FenceVerdict::kAdmit);
 }
 
-TEST_F(own_server_of_a_proxy, is_gone_when_it_refuses_and_no_connection_stands) {
+TEST_F(own_server_test, refused_connection_without_open_ones_reports_server_gone) {
   const auto heartbeat = heartbeat_of("a", 1);
   this->server.on_heartbeat(heartbeat);
-  this->told.clear();
+  this->notifications.clear();
   EXPECT_FALSE(this->server.on_connection_refused(heartbeat.incarnation()));
-  EXPECT_EQ(this->told, (std::vector<std::string>{"gone " + heartbeat.incarnation(), "changed"}));
+  EXPECT_EQ(this->notifications,
+            (std::vector<std::string>{"gone " + heartbeat.incarnation(), "changed"}));
   EXPECT_EQ(this->server.fence(heartbeat.incarnation(), "desk"), FenceVerdict::kNoServer);
 }
 
-TEST_F(own_server_of_a_proxy, forgets_failures_of_a_former_incarnation) {
+TEST_F(own_server_test, new_incarnation_resets_circuit_breaker) {
   this->server.on_heartbeat(heartbeat_of("a", 1));
-  this->fail_runs(failures_short_of_opening);
+  this->fail_runs(failures_before_opening);
   this->server.on_heartbeat(heartbeat_of("b", 1));
-  this->fail_runs(failures_short_of_opening);
+  this->fail_runs(failures_before_opening);
   EXPECT_TRUE(this->server.breaker_admits(true));
 }
 
-TEST_F(own_server_of_a_proxy, is_limited_by_the_connections_of_its_service) {
+TEST_F(own_server_test, limit_is_capped_by_max_connections_of_its_service) {
   this->server.on_heartbeat(heartbeat_of("a", 1));
   EXPECT_GT(this->server.load("").limit, 10U);
   this->server.set_services({{"other", "/", 1}, {"desk", "/", 10}});
@@ -81,30 +82,30 @@
   EXPECT_GT(this->server.load("").limit, 1U);
 }
 
-TEST_F(own_server_of_a_proxy, tells_peers_the_limit_that_it_names) {
+TEST_F(own_server_test, load_includes_announced_limit) {
   this->server.on_heartbeat(heartbeat_of("a", 1));
   const auto a = heartbeat_of("a", 1).incarnation();
   EXPECT_FALSE(this->server.load("").rate);
-  this->server.on_named_limit(a, request_rate{12}, EventLoop::now());
+  this->server.on_announced_limit(a, request_rate{12}, EventLoop::now());
   ASSERT_TRUE(this->server.load("").rate);
   EXPECT_EQ(this->server.load("").rate->limit.per_second, 12);
 }
 
-TEST_F(own_server_of_a_proxy, takes_a_limit_from_peers_for_its_present_incarnation_only) {
+TEST_F(own_server_test, limit_from_peer_is_accepted_only_for_current_incarnation) {
   this->server.on_heartbeat(heartbeat_of("a", 1));
-  this->server.on_told_limit("former", {12});
+  this->server.on_limit_from_peer("former", {12});
   EXPECT_FALSE(this->server.load("").rate);
-  this->server.on_told_limit(heartbeat_of("a", 1).incarnation(), {12});
+  this->server.on_limit_from_peer(heartbeat_of("a", 1).incarnation(), {12});
   EXPECT_TRUE(this->server.load("").rate);
 }
 
-TEST_F(own_server_of_a_proxy, forgets_the_limit_of_a_former_incarnation) {
+TEST_F(own_server_test, new_incarnation_drops_announced_limit) {
   this->server.on_heartbeat(heartbeat_of("a", 1));
   const auto a = heartbeat_of("a", 1).incarnation();
-  this->server.on_named_limit(a, request_rate{12}, EventLoop::now());
+  this->server.on_announced_limit(a, request_rate{12}, EventLoop::now());
   this->server.on_heartbeat(heartbeat_of("b", 1));
   EXPECT_FALSE(this->server.load("").rate);
-  this->server.on_named_limit(a, request_rate{12}, EventLoop::now());
+  this->server.on_announced_limit(a, request_rate{12}, EventLoop::now());
   EXPECT_FALSE(this->server.load("").rate);
 }
 
--- a/tests/daemon/proxy/peer_headers_test.cc
+++ b/tests/daemon/proxy/peer_headers_test.cc
@@ -5,7 +5,7 @@
 namespace ramppond {
 namespace {
 
-TEST(peer_headers, load_comes_back_as_it_was_told) {
+TEST(peer_headers, load_round_trips) {
   ServerLoad load;
   load.limit = 35;
   load.under_way = 34;
@@ -20,28 +20,28 @@
   EXPECT_DOUBLE_EQ(parsed->shed.value, 1.25);
 }
 
-TEST(peer_headers, overload_comes_back_as_it_was_told) {
+TEST(peer_headers, overload_round_trips) {
   const std::string text = formatOverload({{"records", {0.42}}, {"desk", {2.5}}});
   EXPECT_EQ(text, "records=420,desk=2500");
   EXPECT_EQ(formatOverload(parseOverload(&text)), text);
 }
 
-TEST(peer_headers, forms_of_bodies_come_back_as_they_were_told) {
+TEST(peer_headers, withheld_body_round_trips_and_rejects_malformed_text) {
   for (const std::string text : {"none", "0", "17", "17 chunked", "0 chunked"}) {
-    const auto form = parseBodyForm(text);
+    const auto form = parseWithheldBody(text);
     ASSERT_TRUE(form) << text;
-    EXPECT_EQ(formatBodyForm(*form), text);
+    EXPECT_EQ(formatWithheldBody(*form), text);
   }
   for (const std::string text : {"", "x", "17 other", "17x"}) {
-    EXPECT_FALSE(parseBodyForm(text)) << text;
+    EXPECT_FALSE(parseWithheldBody(text)) << text;
   }
 }
 
-TEST(peer_headers, names_that_would_break_the_form_are_left_out) {
+TEST(peer_headers, format_overload_omits_names_with_separators) {
   EXPECT_EQ(formatOverload({{"a,b", {1}}, {"a=b", {1}}, {"a\r\nb", {1}}, {"ab", {1}}}), "ab=1000");
 }
 
-TEST(peer_headers, malformed_overload_is_passed_over) {
+TEST(peer_headers, parse_overload_skips_malformed_entries) {
   EXPECT_TRUE(parseOverload(nullptr).empty());
   for (const std::string text : {"", ",,", "=5", "name", "=,="}) {
     EXPECT_TRUE(parseOverload(&text).empty()) << text;
@@ -58,7 +58,7 @@
   EXPECT_LE(parseOverload(&many).size(), 32U);
 }
 
-TEST(peer_headers, rate_comes_back_as_it_was_told) {
+TEST(peer_headers, rate_round_trips_and_rejects_malformed_text) {
   const std::string text = formatRate({{12.3}, 2.5});
   EXPECT_EQ(text, "12300/2500");
   const auto parsed = parseRate(&text);
--- a/tests/daemon/proxy/proxy_counters_test.cc
+++ b/tests/daemon/proxy/proxy_counters_test.cc
@@ -15,7 +15,7 @@
   return text;
 }
 
-TEST(counter_fields, give_each_counter_and_gauge_under_its_name_in_order) {
+TEST(counter_fields, returns_every_counter_and_gauge_in_order) {
   auto c = proxy_counters();
   auto number = std::uint64_t(0);
   for (auto* counter : {&c.requests,         &c.answered,
