--- a/daemon/proxy/crash_guard.cc
+++ b/daemon/proxy/crash_guard.cc
@@ -12,8 +12,8 @@
 namespace {
 
 // After a crash, the ends of all connections are read within milliseconds; if some are still open
-// after the last check, the server is alive. With fewer or more frequent checks, a crash passes for
-// a lost connection; with longer intervals, its report is delayed accordingly.
+// after the last check, the server is alive. With fewer checks or shorter intervals, a crash passes
+// for a lost connection; with longer intervals, its report is delayed accordingly.
 constexpr auto check_interval = milliseconds(2);
 constexpr auto max_connection_checks = std::uint32_t(5);
 
--- a/daemon/proxy/inbound_request.cc
+++ b/daemon/proxy/inbound_request.cc
@@ -166,7 +166,7 @@
 void InboundRequest::onAdmitted() {
   in_flight_ = true;
   begun_ = EventLoop::now();
-  context_.own.on_begun(route_, begun_);
+  context_.own.on_dispatched(route_, begun_);
   if (state_ == State::kDone || refuseIfFenced()) {
     finishServerWork(ServerOutcome::kWithdrawn);
     return;
--- a/daemon/proxy/own_server.cc
+++ b/daemon/proxy/own_server.cc
@@ -158,7 +158,7 @@
   return this->service_durations.of(route, EventLoop::now());
 }
 
-void own_server::on_begun(const std::string& route, TimePoint now) {
+void own_server::on_dispatched(const std::string& route, TimePoint now) {
   this->dispatched += 1;
   this->service_durations.on_begun(route, now);
 }
--- a/daemon/proxy/own_server.h
+++ b/daemon/proxy/own_server.h
@@ -70,7 +70,7 @@
   /// The service time of requests of `route`; std::nullopt before the first one has completed.
   [[nodiscard]] auto service_time(const std::string& route) const -> std::optional<Duration>;
   /// A request of `route` was dispatched.
-  void on_begun(const std::string& route, TimePoint now);
+  void on_dispatched(const std::string& route, TimePoint now);
   /// Must be called once for each dispatched request.
   void on_ended(const ended_run& run);
 
--- a/daemon/proxy/proxy_counters.h
+++ b/daemon/proxy/proxy_counters.h
@@ -26,8 +26,8 @@
   std::uint64_t no_authority = 0;   // keys could not be judged: the lease has expired
   std::uint64_t beyond_limit = 0;   // 429: beyond the tenant's limit
   std::uint64_t limited_alone = 0;  // of beyond_limit: without a recent decision of the leader
-  std::uint64_t clients_gone = 0;
-  std::uint64_t broken_off = 0;
+  std::uint64_t clients_gone = 0;   // clients that disconnected before the end of the answer
+  std::uint64_t broken_off = 0;     // answers aborted after their head was sent
   std::uint64_t attempts = 0;
   std::uint64_t retries = 0;
   std::uint64_t retries_unpaid = 0;      // not made: retry budget exhausted
--- a/tests/daemon/malformed_input_test.cc
+++ b/tests/daemon/malformed_input_test.cc
@@ -1,4 +1,4 @@
-// Malformed, oversized, half-sent and forged input to a live daemon.
+// Sends malformed, oversized, incomplete and forged requests to a running daemon.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -32,10 +32,10 @@
   return configuration;
 }
 
-// A control member that has one configuration and one server, and grants every claim.
-class ControlStandIn {
+// A control group member with one configuration and one server that grants every claim.
+class FakeControlMember {
  public:
-  explicit ControlStandIn(std::string peer_address) : peer_address_(std::move(peer_address)) {
+  explicit FakeControlMember(std::string peer_address) : peer_address_(std::move(peer_address)) {
     HttpServerOptions options;
     options.listen = {"127.0.0.1", 0};
     server_ = std::make_unique<HttpServer>(
@@ -50,7 +50,7 @@
         [](HttpToken) {});
     server_->start();
   }
-  ~ControlStandIn() { server_->stop(); }
+  ~FakeControlMember() { server_->stop(); }
   [[nodiscard]] std::string address() const {
     return "127.0.0.1:" + std::to_string(server_->port());
   }
@@ -84,10 +84,10 @@
   std::unique_ptr<HttpServer> server_;
 };
 
-// A back end that answers every call with the headers it got.
-class BackendStandIn {
+// A backend that echoes the body of every request and counts the requests that it runs.
+class FakeBackend {
  public:
-  explicit BackendStandIn(const Endpoint& listen) {
+  explicit FakeBackend(const Endpoint& listen) {
     HttpServerOptions options;
     options.listen = listen;
     options.maximum_request_bytes = 8 << 20;
@@ -103,7 +103,7 @@
         [](HttpToken) {});
     server_->start();
   }
-  ~BackendStandIn() { server_->stop(); }
+  ~FakeBackend() { server_->stop(); }
   [[nodiscard]] int runs() const { return runs_; }
 
  private:
@@ -154,8 +154,9 @@
     const std::string response = exchange(front_, bytes);
     return response.size() < 12 ? 0 : std::atoi(response.c_str() + 9);
   }
-  // The daemon answers `bytes` with a 4xx, runs nothing and goes on working.
-  void expectRefused(const std::string& name, const std::string& bytes) {
+  // Expects a 4xx answer to `bytes`, no run at the backend, and that the daemon still serves
+  // requests.
+  void expectRejected(const std::string& name, const std::string& bytes) {
     const int runs = backend_.runs();
     const int code = status(bytes);
     EXPECT_GE(code, 400) << name;
@@ -165,19 +166,19 @@
   }
 
   PortReservation front_, peer_, egress_, admin_, backend_port_;
-  ControlStandIn control_;
-  BackendStandIn backend_;
+  FakeControlMember control_;
+  FakeBackend backend_;
   std::unique_ptr<DaemonProcess> daemon_;
 };
 
-struct BadInput {
+struct MalformedRequest {
   std::string name;
   std::string bytes;
 };
 
-TEST_F(MalformedInputTest, EveryBadRequestGetsAClearAnswerAndHarmsNothing) {
+TEST_F(MalformedInputTest, MalformedRequestsAreRejectedWithoutRunning) {
   const std::string long_path = "/records/" + std::string(5000, 'p');
-  const std::vector<BadInput> inputs = {
+  const std::vector<MalformedRequest> inputs = {
       {"no path", get("/")},
       {"service alone", get("/records")},
       {"unknown service", get("/nowhere/x")},
@@ -217,12 +218,12 @@
        "GET /records/x HTTP/1.1\r\nX: " + std::string(3 << 20, 'h')},
   };
   ASSERT_GE(inputs.size(), 30U);
-  for (const BadInput& input : inputs) {
-    expectRefused(input.name, input.bytes);
+  for (const MalformedRequest& input : inputs) {
+    expectRejected(input.name, input.bytes);
   }
 }
 
-TEST_F(MalformedInputTest, HalfSentRequestsAreDroppedWithoutHarm) {
+TEST_F(MalformedInputTest, IncompleteRequestsAreDropped) {
   const int runs = backend_.runs();
   for (const std::string bytes :
        {"GET /rec", "GET /records/x\r\n\r\n", "GET /records/x HTTP/1.1\r\nHost a\r\n\r\n",
@@ -235,7 +236,7 @@
   EXPECT_EQ(status(get("/records/x")), 200);
 }
 
-TEST_F(MalformedInputTest, PeerAndEgressPortsRefuseGarbage) {
+TEST_F(MalformedInputTest, PeerAndEgressPortsRejectMalformedRequests) {
   const int runs = backend_.runs();
   for (const std::string& body : {std::string("garbage"), std::string(), std::string("\xA1\x01", 2),
                                   std::string("\xFF\xFF\xFF", 3)}) {
@@ -247,14 +248,14 @@
   EXPECT_EQ(status(get("/records/x")), 200);
 }
 
-TEST_F(MalformedInputTest, ADuplicatedHeaderGivesNoMorePrivilege) {
-  // The HTTP library keeps the first of two headers of one name; the second adds nothing.
+TEST_F(MalformedInputTest, DuplicateCallerHeaderDoesNotGrantPrivileges) {
+  // The HTTP library keeps the first of two headers with the same name and ignores the second.
   EXPECT_EQ(status(get("/records/x", "Ramppond-Caller: stolen\r\nRamppond-Caller: gold-key\r\n")),
             401);
 }
 
-TEST_F(MalformedInputTest, OddContentLengthsHarmNothing) {
-  // The HTTP library reads letters as zero and answers a negative length itself.
+TEST_F(MalformedInputTest, InvalidContentLengthsDoNotBreakTheDaemon) {
+  // The HTTP library parses letters as zero and answers a negative length itself.
   for (const std::string length : {"many", "-1", "18446744073709551616", "5, 6"}) {
     exchange(front_,
              "POST /records/x HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: " +
@@ -263,14 +264,14 @@
   }
 }
 
-TEST_F(MalformedInputTest, BodiesOfOneMebibyteGoBothWays) {
+TEST_F(MalformedInputTest, OneMebibyteBodiesPassInBothDirections) {
   const std::string body(1 << 20, 'b');
   const std::string response = exchange(front_, post("/records/x", body));
   EXPECT_NE(response.find(" 200 "), std::string::npos) << response.substr(0, 200);
   EXPECT_NE(response.find(body), std::string::npos);
 }
 
-TEST_F(MalformedInputTest, ARefusalCarriesOutcomeErrorAndReason) {
+TEST_F(MalformedInputTest, RefusalIncludesOutcomeErrorAndReason) {
   const std::string response = exchange(front_, get("/records/x", "Ramppond-Deadline-Ms: 0\r\n"));
   EXPECT_NE(response.find("Ramppond-Outcome: not_run"), std::string::npos) << response;
   EXPECT_NE(response.find("Ramppond-Error: malformed_request"), std::string::npos);
--- a/tests/daemon/proxy/own_server_test.cc
+++ b/tests/daemon/proxy/own_server_test.cc
@@ -36,7 +36,7 @@
       run.begun = EventLoop::now();
       run.outcome = ServerOutcome::kFailed;
       run.since_failed_call = seconds(10);
-      this->server.on_begun(run.route, run.begun);
+      this->server.on_dispatched(run.route, run.begun);
       this->server.on_ended(run);
     }
   }
