--- a/daemon/proxy/forwarded_answer.cc
+++ b/daemon/proxy/forwarded_answer.cc
@@ -171,11 +171,11 @@
 std::optional<Duration> ForwardedRequest::retryAfter(const own_answer& answer) {
   const Duration goal = params_.route == nullptr ? Duration(0) : params_.route->goal;
   const retry_after_verdict verdict = retry_after_of(answer, goal);
-  if (const auto* stated = std::get_if<stated_retry_after>(&verdict)) {
+  if (const auto* stated = std::get_if<exact_retry_after>(&verdict)) {
     return stated->time;
   }
-  if (const auto* spread = std::get_if<spread_from>(&verdict)) {
-    return spread_retry_after(spread->least, {context_.random.uniform()});
+  if (const auto* spread = std::get_if<jittered_retry_after>(&verdict)) {
+    return add_retry_after_jitter(spread->least, {context_.random.uniform()});
   }
   return std::nullopt;
 }
--- a/daemon/proxy/forwarded_params.cc
+++ b/daemon/proxy/forwarded_params.cc
@@ -63,7 +63,7 @@
     return own_answer{own_answer_kind::unknown_key};
   }
   if (std::holds_alternative<key_unjudged>(identity)) {
-    return own_answer{own_answer_kind::keys_unjudged};
+    return own_answer{own_answer_kind::keys_unverifiable};
   }
   this->tenant = std::get<identified>(identity).tenant;
   if (this->tenant != nullptr) {
@@ -106,7 +106,7 @@
   if (overload == nullptr) {
     return std::nullopt;
   }
-  return answer_overload_below(overload->service);
+  return answer_downstream_overload(overload->service);
 }
 
 }  // namespace ramppond
--- a/daemon/proxy/forwarded_retry.cc
+++ b/daemon/proxy/forwarded_retry.cc
@@ -96,17 +96,17 @@
   ended_attempt ended;
   ended.end = end;
   ended.may_run_twice = params_.may_run_twice();
-  ended.body_held = !body_.is_streamed();
+  ended.body_buffered = !body_.is_streamed();
   ended.attempts = history_.tried_addresses.size();
   ended.arrivals = arrivals;
   ended.max_arrivals = params_.route->max_attempts;
   ended.lost_runs = history_.lost_runs;
   ended.time_left = timeLeft();
-  return judge_retry(ended);
+  return decide_retry(ended);
 }
 
 bool ForwardedRequest::spendRetryBudget() {
-  const budget_reserve reserve = reserve_of(params_.is_call, params_.attributed.calls_to_come);
+  const budget_reserve reserve = reserve_of(params_.is_call, params_.attributed.remaining_calls);
   const budget_draw draw = {context_.random.uniform()};
   const bool paid = context_.budgets.of(params_.service).take(EventLoop::now(), reserve, draw);
   if (paid) {
@@ -118,10 +118,10 @@
 }
 
 bool ForwardedRequest::authorizeRetry(const retry_verdict& verdict) {
-  if (std::holds_alternative<retry_to_be_paid>(verdict)) {
+  if (std::holds_alternative<retry_from_budget>(verdict)) {
     return spendRetryBudget();
   }
-  return std::holds_alternative<retry_free>(verdict);
+  return std::holds_alternative<retry_without_budget>(verdict);
 }
 
 void ForwardedRequest::retry(const std::string& reason) {
--- a/daemon/proxy/inbound_answer.cc
+++ b/daemon/proxy/inbound_answer.cc
@@ -49,7 +49,7 @@
 }  // namespace
 
 void InboundRequest::refuse(inbound_refusal refusal) {
-  const refusal_terms terms = terms_of(refusal);
+  const refusal_traits terms = traits_of(refusal);
   const std::string outcome(outcomeToken(terms.kind));
   const std::string reason(terms.reason);
   count(terms.counter);
@@ -128,7 +128,7 @@
     head.fields.push_back({std::string(kPeerRate), formatRate(*load.rate)});
   }
   const std::string levels = formatOverload(
-      overload_of_calls(route_, context_.calls, context_.overload, EventLoop::now()));
+      downstream_overload_of(route_, context_.calls, context_.overload, EventLoop::now()));
   if (!levels.empty()) {
     head.fields.push_back({std::string(kPeerOverload), levels});
   }
--- a/daemon/proxy/own_server.cc
+++ b/daemon/proxy/own_server.cc
@@ -56,7 +56,7 @@
 void own_server::on_limit_from_peer(const std::string& incarnation, request_rate reported) {
   const auto before = this->announced_limit.rate();
   if (incarnation == this->tracked_incarnation &&
-      this->announced_limit.on_told_by_peer(reported, EventLoop::now())) {
+      this->announced_limit.on_peer_report(reported, EventLoop::now())) {
     this->apply_rate(before);
   }
 }
@@ -125,7 +125,7 @@
     this->tracked_incarnation = incarnation;
     this->breaker = circuit_breaker();
     this->service_durations = service_times();
-    this->announced_limit = limit_in_force();
+    this->announced_limit = effective_limit();
     this->admission_control.setRate(std::nullopt, EventLoop::now());
   }
   this->apply_limits();
@@ -165,11 +165,11 @@
 
 void own_server::on_ended(const ended_run& run) {
   const auto now = EventLoop::now();
-  this->service_durations.on_ended(run.route, run.begun, isWork(run.outcome), now);
+  this->service_durations.on_ended(run.route, run.begun, isCompletedRun(run.outcome), now);
   this->update_breaker(run, now);
   this->admission_control.onFinished(run.begun, run.outcome, now);
   if (!run.sent) {
-    this->admission_control.onNeverSent(now);
+    this->admission_control.onNotSent(now);
   }
 }
 
--- a/daemon/proxy/own_server.h
+++ b/daemon/proxy/own_server.h
@@ -16,7 +16,7 @@
 #include "core/admission/service_times.h"
 #include "core/lifecycle/local_server.h"
 #include "core/placement/instance_directory.h"
-#include "core/rate_limit/limit_in_force.h"
+#include "core/rate_limit/effective_limit.h"
 #include "core/traffic/traffic_configuration.h"
 #include "net/stream/event_loop.h"
 #include "net/stream/http_client.h"
@@ -81,7 +81,7 @@
   [[nodiscard]] auto load(const std::string& route) const -> ServerLoad;
 
   /// The rate limit that the server currently announces.
-  [[nodiscard]] auto limit() const -> const limit_in_force& { return this->announced_limit; }
+  [[nodiscard]] auto limit() const -> const effective_limit& { return this->announced_limit; }
   /// Logs the event `server_limit_use` if the server currently announces a rate limit. Call
   /// whenever the counters are logged.
   void log_limit_use() const;
@@ -102,7 +102,7 @@
   ServerAdmission admission_control;
   service_times service_durations;
   circuit_breaker breaker;
-  limit_in_force announced_limit;
+  effective_limit announced_limit;
   std::uint64_t dispatched = 0;        // requests since the start of this proxy
   std::uint64_t refused_for_rate = 0;  // requests refused for the announced limit since then
   std::string tracked_incarnation;     // of service_durations, breaker and announced_limit
--- a/daemon/proxy/proxy_context.h
+++ b/daemon/proxy/proxy_context.h
@@ -12,7 +12,7 @@
 #include <string>
 
 #include "common/event_log.h"
-#include "core/admission/overload_below.h"
+#include "core/admission/downstream_overload.h"
 #include "core/admission/shedding.h"
 #include "core/external/external_api.h"
 #include "core/placement/instance_directory.h"
@@ -68,9 +68,9 @@
   InstanceDirectory directory;
   proxy_counters counters;
   own_server own;
-  call_attribution calls;   ///< Calls of the local server.
-  overload_below overload;  ///< By route of the requests that originate on this machine.
-  crash_guard guard;        ///< Guards the local server.
+  call_attribution calls;        ///< Calls of the local server.
+  downstream_overload overload;  ///< By route of the requests that originate on this machine.
+  crash_guard guard;             ///< Guards the local server.
   peer_pools peers;
   retry_budgets budgets;
   std::set<ForwardedRequest*> attempting;  ///< Requests with an attempt in flight.
--- a/daemon/proxy/proxy_process.cc
+++ b/daemon/proxy/proxy_process.cc
@@ -250,7 +250,7 @@
   context_.peers.sweep();
   rereadSettings(false);
   seconds_ += 1;
-  context_.budgets.share_among(context_.directory.size(), seconds(seconds_));
+  context_.budgets.set_fleet_size(context_.directory.size(), seconds(seconds_));
   if (seconds_ % kCounterLogSeconds == 0) {
     logCounters();
   }
