--- a/daemon/proxy/forwarded_params.cc
+++ b/daemon/proxy/forwarded_params.cc
@@ -62,7 +62,7 @@
   if (std::holds_alternative<key_refused>(identity)) {
     return own_answer{own_answer_kind::unknown_key};
   }
-  if (std::holds_alternative<key_unjudged>(identity)) {
+  if (std::holds_alternative<key_unverifiable>(identity)) {
     return own_answer{own_answer_kind::keys_unverifiable};
   }
   this->tenant = std::get<identified>(identity).tenant;
@@ -79,7 +79,7 @@
   }
   const auto verdict = context.quotas.ask(this->tenant->name, EventLoop::now());
   this->counted_by_quota = verdict.admitted;
-  if (context.quotas.surging() && context.on_tenant_surge) {
+  if (context.quotas.has_surge() && context.on_tenant_surge) {
     context.on_tenant_surge();
   }
   if (verdict.admitted) {
--- a/daemon/proxy/inbound_request.cc
+++ b/daemon/proxy/inbound_request.cc
@@ -86,7 +86,7 @@
   const suspicion_state judged =
       digest_ ? context_.guard.judge(*digest_) : suspicion_state(unsuspected{});
   const bool may_host_trial =
-      std::holds_alternative<on_trial>(judged) && context_.guard.may_host_trial(*digest_);
+      std::holds_alternative<quarantined>(judged) && context_.guard.may_host_trial(*digest_);
   isolated_ = false;
   std::visit(
       overloaded{[&](const dispatch_shared&) { requestAdmission(); },
--- a/daemon/proxy/proxy_process.cc
+++ b/daemon/proxy/proxy_process.cc
@@ -157,7 +157,7 @@
         [this, poll_id, requested_at = now](const std::optional<ControlReply>& reply) {
           const std::string before = session_.upstream();
           if (session_.onReply(poll_id, reply, EventLoop::now())) {
-            context_.lease.on_proven(requested_at);
+            context_.lease.on_confirmed(requested_at);
           }
           if (session_.upstream() != before) {
             logEvent(EventLoop::now().count(), "control_member",
--- a/daemon/proxy/tenant_reports.cc
+++ b/daemon/proxy/tenant_reports.cc
@@ -18,7 +18,7 @@
 }  // namespace
 
 tenant_reports::tenant_reports(EventLoop& loop, ProxySession& session, ControlChannels& channels,
-                               quota_gate& quotas, const InstanceDirectory& directory,
+                               quota_limiter& quotas, const InstanceDirectory& directory,
                                std::string own_address)
     : session(session),
       channels(channels),
