--- a/core/cbor_codec.cc
+++ b/core/cbor_codec.cc
@@ -8,7 +8,7 @@
 namespace ramppond {
 namespace {
 
-constexpr std::size_t kLargestHead = 9;  // One initial byte and eight bytes of argument.
+constexpr std::size_t kMaximumHeadBytes = 9;  // Initial byte and 8-byte argument.
 
 }  // namespace
 
@@ -17,7 +17,7 @@
 }
 
 void CborWriter::writeUnsigned(std::uint64_t value) {
-  std::array<unsigned char, kLargestHead> head{};
+  std::array<unsigned char, kMaximumHeadBytes> head{};
   append(head.data(), cbor_encode_uint(value, head.data(), head.size()));
 }
 
@@ -26,18 +26,18 @@
     writeUnsigned(static_cast<std::uint64_t>(value));
     return;
   }
-  std::array<unsigned char, kLargestHead> head{};
+  std::array<unsigned char, kMaximumHeadBytes> head{};
   const auto argument = static_cast<std::uint64_t>(-(value + 1));
   append(head.data(), cbor_encode_negint(argument, head.data(), head.size()));
 }
 
 void CborWriter::writeBool(bool value) {
-  std::array<unsigned char, kLargestHead> head{};
+  std::array<unsigned char, kMaximumHeadBytes> head{};
   append(head.data(), cbor_encode_bool(value, head.data(), head.size()));
 }
 
 void CborWriter::writeBytes(const std::string& value) {
-  std::array<unsigned char, kLargestHead> head{};
+  std::array<unsigned char, kMaximumHeadBytes> head{};
   append(head.data(), cbor_encode_bytestring_start(value.size(), head.data(), head.size()));
   buffer_.append(value);
 }
@@ -47,17 +47,17 @@
 }
 
 void CborWriter::startArray(std::size_t size) {
-  std::array<unsigned char, kLargestHead> head{};
+  std::array<unsigned char, kMaximumHeadBytes> head{};
   append(head.data(), cbor_encode_array_start(size, head.data(), head.size()));
 }
 
 void CborWriter::startMap() {
-  std::array<unsigned char, kLargestHead> head{};
+  std::array<unsigned char, kMaximumHeadBytes> head{};
   append(head.data(), cbor_encode_indef_map_start(head.data(), head.size()));
 }
 
 void CborWriter::end() {
-  std::array<unsigned char, kLargestHead> head{};
+  std::array<unsigned char, kMaximumHeadBytes> head{};
   append(head.data(), cbor_encode_break(head.data(), head.size()));
 }
 
--- a/core/cbor_codec.h
+++ b/core/cbor_codec.h
@@ -1,8 +1,9 @@
-// CBOR (RFC 8949) for every struct that lists its fields in visitFields(): encode() and decode().
+// CBOR codec (RFC 8949): encode() and decode() for every struct that lists its fields in
+// visitFields().
 //
-// A struct is a map from field number to value. A decoder keeps the default of a missing field
-// and skips unknown ones, so that versions can be mixed; a field of the wrong type, a value out
-// of range or trailing bytes make the whole message invalid. Pure: no I/O.
+// A struct is encoded as a map from field number to value. The decoder keeps the default value of a
+// missing field and ignores unknown fields, so that different versions can communicate. A field of
+// the wrong type, a value out of range or trailing bytes make the whole message invalid. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -24,7 +25,7 @@
   void writeSigned(std::int64_t value);
   void writeBool(bool value);
   void writeBytes(const std::string& value);
-  /// Appends one whole data item that was encoded before.
+  /// Appends one complete data item that is already encoded.
   void writeItem(const std::string& item);
   void startArray(std::size_t size);
   void startMap();
@@ -37,7 +38,7 @@
   std::string buffer_;
 };
 
-/// A view of one decoded data item. The items live as long as their CborDocument.
+/// A view of one decoded data item, valid for the lifetime of its CborDocument.
 class CborValue {
  public:
   explicit CborValue(const cbor_item_t* item) : item_(item) {}
@@ -46,10 +47,10 @@
   [[nodiscard]] std::optional<std::int64_t> asSigned() const;
   [[nodiscard]] std::optional<bool> asBool() const;
   [[nodiscard]] std::optional<std::string> asBytes() const;
-  /// Elements of an array; nothing for any other item.
+  /// The elements of an array; std::nullopt for any other item.
   [[nodiscard]] std::optional<std::vector<CborValue>> asArray() const;
   [[nodiscard]] bool isMap() const;
-  /// The value under an unsigned key of a map; nothing if there is none.
+  /// The value of an unsigned key of a map; std::nullopt if the key is missing. Call only on a map.
   [[nodiscard]] std::optional<CborValue> field(std::uint64_t key) const;
 
  private:
@@ -64,22 +65,22 @@
   CborDocument(const CborDocument&) = delete;
   CborDocument& operator=(const CborDocument&) = delete;
 
-  /// The only data item; nothing if the bytes are not exactly one well-formed item.
+  /// The data item; std::nullopt if the bytes are not exactly one well-formed item.
   [[nodiscard]] std::optional<CborValue> root() const;
 
  private:
   cbor_item_t* item_ = nullptr;
 };
 
-/// A field that many messages hold alike: a writer encodes it once and puts the bytes into each of
-/// them, a reader gets the value. On the wire it is a plain T.
+/// A field with the same value in many messages. The writer encodes the value once and reuses the
+/// bytes for each message; the reader decodes `value`. On the wire it is a plain T.
 template <class T>
 struct Preencoded {
   Preencoded() = default;
-  Preencoded(T held) : value(std::move(held)) {}  // NOLINT(google-explicit-constructor)
+  Preencoded(T initial) : value(std::move(initial)) {}  // NOLINT(google-explicit-constructor)
 
   T value;
-  std::string bytes;  ///< The encoded value, if it was encoded before.
+  std::string bytes;  ///< The encoded value; empty if it is not encoded yet.
 };
 
 namespace codec_detail {
@@ -124,7 +125,7 @@
   template <class T>
   void operator()(std::uint64_t key, const T& value) {
     if (isEmptyContainer(value)) {
-      return;  // Containers are empty by default.
+      return;  // An empty container is the default, so the field is omitted.
     }
     writer.writeUnsigned(key);
     writeValue(writer, value);
@@ -246,7 +247,7 @@
   return writer.take();
 }
 
-/// The message in `bytes`, or nothing if they are not a valid one.
+/// Decodes a message; returns std::nullopt if `bytes` is not a valid encoding of T.
 template <class T>
 std::optional<T> decode(const std::string& bytes) {
   const CborDocument document(bytes);
--- a/core/consensus/initial_membership.h
+++ b/core/consensus/initial_membership.h
@@ -1,8 +1,8 @@
-// The membership with which a group of several control members starts at once.
+// Initial membership of a control group whose members are all started with the same address list.
 //
-// All of them are given the same addresses and must come to the same result without talking: each
-// member's identity and the group's number are derived from the addresses. A member that later
-// comes back with an empty disk draws a random identity instead (RaftStorage).
+// Every member computes the same membership without communication, because node ids and the group
+// id are derived from the addresses alone. A member that later restarts with an empty disk draws a
+// random id instead (see RaftStorage). All functions are pure.
 #pragma once
 
 #include <string>
@@ -12,11 +12,11 @@
 
 namespace ramppond {
 
-/// Identity of the member at `address` in a group's first membership; never 0.
+/// Returns the node id of the member at `address` in the initial membership; never 0.
 NodeId initialNodeId(const std::string& address);
-/// All of `addresses` as voters. The order does not matter.
+/// Returns a membership with each distinct address as a voter, independent of their order.
 Membership initialMembership(std::vector<std::string> addresses);
-/// The number of the group that starts with this membership; never 0.
+/// Returns the id of the group that starts with `membership`; never 0.
 std::uint64_t initialGroupId(const Membership& membership);
 
 }  // namespace ramppond
--- a/core/consensus/member_replacement.cc
+++ b/core/consensus/member_replacement.cc
@@ -39,14 +39,14 @@
     next.members.back().voter = false;
     return next;
   }
-  if (current.voterCount() <= kVotersKept) {
+  if (current.voterCount() <= kMinimumVoters) {
     return std::nullopt;
   }
   const auto longest = std::max_element(silences.begin(), silences.end(),
                                         [](const VoterSilence& left, const VoterSilence& right) {
                                           return left.silent_for < right.silent_for;
                                         });
-  if (longest == silences.end() || longest->silent_for < kSilentVoterRemoved) {
+  if (longest == silences.end() || longest->silent_for < kSilentVoterTimeout) {
     return std::nullopt;
   }
   return without(current, longest->id);
--- a/core/consensus/member_replacement.h
+++ b/core/consensus/member_replacement.h
@@ -1,10 +1,13 @@
-// Which member change comes next, so that control members replace themselves without an operator.
+// Chooses the next membership change, so that failed control members are replaced without an
+// operator.
 //
-// The leader asks this after every request to join and on its ticks. One change at a time (Ongaro's
-// thesis, 4.1), each through the log. A member whose disk was lost comes back under a new identity
-// at its old address: the old identity can never vote again, so it is removed first. A machine at a
-// new address joins as a learner, is promoted when it has caught up, and only then does a voter
-// that has long been silent give way.
+// The leader evaluates this after every join request and on its ticks. Changes go through the log
+// one at a time (Ongaro's thesis, 4.1):
+// - A member that lost its disk rejoins at its old address under a new id. Its old id can never
+//   vote again, so it is removed first.
+// - A machine at a new address joins as a learner and is promoted once it has caught up. Only then
+//   is a voter removed that has been silent for too long.
+// Pure, no state of its own.
 #pragma once
 
 #include <optional>
@@ -15,19 +18,19 @@
 
 namespace ramppond {
 
-/// A voter as the leader sees it.
+/// How long the leader has not heard from a voter.
 struct VoterSilence {
   NodeId id = 0;
   Duration silent_for{0};
 };
 
-/// The group keeps at least this many voters, however long some are silent.
-constexpr std::size_t kVotersKept = 3;
-/// A voter is removed when it was silent this long and enough others stand. Longer than a restart.
-constexpr Duration kSilentVoterRemoved = seconds(3);
+/// No silent voter is removed while the group has at most this many voters.
+constexpr std::size_t kMinimumVoters = 3;
+/// A voter that has been silent this long may be removed. Longer than a restart takes.
+constexpr Duration kSilentVoterTimeout = seconds(3);
 
-/// The next membership to propose, or nothing. `joiners` have asked to join; `silences` holds the
-/// voters other than the leader.
+/// Returns the next membership to propose, or std::nullopt if no change is due. `joiners` are the
+/// members that have requested to join; `silences` covers the voters other than the leader.
 std::optional<Membership> nextMembership(const Membership& current,
                                          const std::vector<Member>& joiners,
                                          const std::vector<VoterSilence>& silences);
--- a/core/consensus/raft.cc
+++ b/core/consensus/raft.cc
@@ -40,18 +40,18 @@
       snapshot_(std::move(recovery.snapshot)),
       log_(recovery.entries.begin(), recovery.entries.end()),
       now_(now) {
-  commit_ = applied_ = handed_out_ = snapshot_.index;
+  commit_ = applied_ = delivered_ = snapshot_.index;
   stable_ = written_ = lastIndex();
   recomputeMembership();
   resetElectionTimer();
-  hurryFirstElection();
+  shortenInitialElectionTimer();
 }
 
 bool RaftNode::bootstrap(std::uint64_t group_id, const Member& self, TimePoint now) {
-  Membership alone;
-  alone.members = {self};
-  alone.members.front().voter = true;
-  if (!startFirstLog(group_id, alone, now)) {
+  Membership single_voter;
+  single_voter.members = {self};
+  single_voter.members.front().voter = true;
+  if (!initializeLog(group_id, single_voter, now)) {
     return false;
   }
   startElection();
@@ -59,12 +59,12 @@
 }
 
 bool RaftNode::bootstrapGroup(std::uint64_t group_id, const Membership& members, TimePoint now) {
-  return startFirstLog(group_id, members, now);
+  return initializeLog(group_id, members, now);
 }
 
-bool RaftNode::startFirstLog(std::uint64_t group_id, const Membership& members, TimePoint now) {
-  const bool pristine = hard_state_.group_id == 0 && lastIndex() == 0 && hard_state_.term == 0;
-  if (!pristine || !members.isVoter(options_.id) || group_id == 0) {
+bool RaftNode::initializeLog(std::uint64_t group_id, const Membership& members, TimePoint now) {
+  const bool empty_disk = hard_state_.group_id == 0 && lastIndex() == 0 && hard_state_.term == 0;
+  if (!empty_disk || !members.isVoter(options_.id) || group_id == 0) {
     return false;
   }
   now_ = now;
@@ -200,7 +200,7 @@
   entry.type = EntryType::kCommand;
   entry.payload = payload;
   appendEntry(std::move(entry));
-  heartbeat_due_ = now_;  // The next tick sends all proposals made until then as one batch.
+  heartbeat_due_ = now_;  // The next tick sends all pending proposals as one batch.
   return lastIndex();
 }
 
@@ -225,7 +225,7 @@
     reads_failed_.push_back(read_id);
     return;
   }
-  // Served after a heartbeat round that starts later than the request (6.4).
+  // Served once a heartbeat round that started after the request is acknowledged (6.4).
   pending_reads_.push_back({read_id, round_ + 1, 0});
   heartbeat_due_ = now_;
 }
@@ -255,7 +255,7 @@
 void RaftNode::appendEntry(LogEntry entry) {
   entry.index = lastIndex() + 1;
   if (entry.type == EntryType::kMembership) {
-    membership_ = entry.membership;  // In force as soon as it is in the log (4.1).
+    membership_ = entry.membership;  // Takes effect as soon as it is in the log (4.1).
     membership_index_ = entry.index;
   }
   log_.push_back(std::move(entry));
@@ -297,10 +297,10 @@
   }
   written_ = lastIndex();
   ready.messages = std::exchange(outbox_, {});
-  for (LogIndex index = handed_out_ + 1; index <= commit_; ++index) {
+  for (LogIndex index = delivered_ + 1; index <= commit_; ++index) {
     ready.committed.push_back(entryAt(index));
   }
-  handed_out_ = std::max(handed_out_, commit_);
+  delivered_ = std::max(delivered_, commit_);
   ready.reads_ready = std::exchange(reads_ready_, {});
   ready.reads_failed = std::exchange(reads_failed_, {});
   return ready;
@@ -308,7 +308,7 @@
 
 void RaftNode::advance() {
   stable_ = written_;
-  applied_ = handed_out_;
+  applied_ = delivered_;
   if (role_ == RaftRole::kLeader) {
     advanceCommit();
     serveReads();
--- a/core/consensus/raft_election.cc
+++ b/core/consensus/raft_election.cc
@@ -1,4 +1,4 @@
-// Elections: votes, pre-votes, leadership and its end (Raft paper 5.2, 5.4.1; dissertation 9.6).
+// RaftNode: elections, votes, pre-votes and stepping down (Raft paper 5.2, 5.4.1; thesis 9.6).
 #include <algorithm>
 #include <utility>
 
@@ -7,8 +7,8 @@
 namespace ramppond {
 namespace {
 
-// A first time-out of a millisecond still reaches every usual election time-out.
-constexpr std::uint32_t kMostDoublings = 10;
+// Enough for an initial timeout of 1 ms to grow beyond the usual election timeouts.
+constexpr std::uint32_t kMaximumDoublings = 10;
 
 }  // namespace
 
@@ -18,19 +18,20 @@
       now_ + options_.election_timeout + Duration(static_cast<std::int64_t>(random_.below(spread)));
 }
 
-// Members that start together reach each other one after the other, and several may then ask for
-// votes at once: until one of them leads, a pre-vote that found no quorum and an election that
-// split the votes (5.2) are repeated soon. Pre-votes disturb nobody's term; elections do, so that
-// each that was lost doubles the time: votes may take long, as on a slow disk.
-void RaftNode::hurryFirstElection() {
+// Applies the initial election timeout until a leader is known. Members that start together become
+// reachable one after the other, so that a pre-vote may find no quorum and an election may split
+// the votes (5.2); both are retried soon. A pre-vote changes no member's term, but an election
+// does, so each election doubles the timeout: replies to vote requests may be slow, as on a slow
+// disk.
+void RaftNode::shortenInitialElectionTimer() {
   if (!options_.initial_election_timeout || leader_seen_) {
     return;
   }
-  const std::uint32_t doublings = std::min(first_elections_, kMostDoublings);
-  const Duration least = std::min<Duration>(*options_.initial_election_timeout * (1U << doublings),
-                                            options_.election_timeout);
-  const auto spread = static_cast<std::uint64_t>(least.count());
-  election_due_ = now_ + least + Duration(static_cast<std::int64_t>(random_.below(spread)));
+  const std::uint32_t doublings = std::min(initial_elections_, kMaximumDoublings);
+  const Duration minimum = std::min<Duration>(
+      *options_.initial_election_timeout * (1U << doublings), options_.election_timeout);
+  const auto spread = static_cast<std::uint64_t>(minimum.count());
+  election_due_ = now_ + minimum + Duration(static_cast<std::int64_t>(random_.below(spread)));
 }
 
 void RaftNode::becomeFollower(Term term, NodeId leader) {
@@ -48,7 +49,7 @@
 }
 
 // A leader that has not heard from a quorum for an election timeout steps down (6.2), so that a
-// cut-off leader stops answering reads and claims.
+// partitioned leader stops answering reads and claims.
 void RaftNode::checkQuorum() {
   if (now_ - leader_since_ < options_.election_timeout) {
     return;
@@ -72,13 +73,13 @@
   return voters >= membership_.quorum();
 }
 
-// Pre-vote (9.6): asks whether an election could be won before disturbing anybody's term.
+// Pre-vote (9.6): finds out whether an election could be won before raising any member's term.
 void RaftNode::startPreVote() {
   role_ = RaftRole::kPreCandidate;
   leader_ = 0;
   votes_ = {options_.id};
   resetElectionTimer();
-  hurryFirstElection();
+  shortenInitialElectionTimer();
   if (hasQuorum(votes_)) {
     startElection();
     return;
@@ -93,8 +94,8 @@
   hard_state_.voted_for = options_.id;
   votes_ = {options_.id};
   resetElectionTimer();
-  hurryFirstElection();
-  first_elections_ += leader_seen_ ? 0 : 1;
+  shortenInitialElectionTimer();
+  initial_elections_ += leader_seen_ ? 0 : 1;
   if (hasQuorum(votes_)) {
     becomeLeader();
     return;
@@ -128,11 +129,11 @@
   broadcastAppend();
 }
 
-bool RaftNode::logIsCurrent(LogIndex index, Term term) const {
+bool RaftNode::isLogUpToDate(LogIndex index, Term term) const {
   return term > lastTerm() || (term == lastTerm() && index >= lastIndex());
 }
 
-// Takes over a higher term. Returns false when the message is to be dropped.
+// Adopts the message's term if it is higher. Returns false if the message must be dropped.
 bool RaftNode::observeTerm(const RaftMessage& message) {
   const bool pre_vote = message.type == RaftMessageType::kPreVoteRequest ||
                         (message.type == RaftMessageType::kPreVoteReply && message.accepted);
@@ -141,8 +142,8 @@
   }
   const bool vote = message.type == RaftMessageType::kVoteRequest;
   if (vote) {
-    // A removed or cut-off member must not depose a leader that others still hear (4.2.3). A
-    // sender that is not a voter here is not allowed to raise our term either.
+    // A removed or partitioned member must not depose a leader that others still hear (4.2.3),
+    // whether or not the sender is a voter in this node's membership.
     const bool hears_leader =
         role_ == RaftRole::kLeader ||
         (heard_leader_ && now_ - last_leader_contact_ < options_.election_timeout);
@@ -161,9 +162,10 @@
   const auto reply_type = pre_vote ? RaftMessageType::kPreVoteReply : RaftMessageType::kVoteReply;
   const bool hears_leader =
       heard_leader_ && now_ - last_leader_contact_ < options_.election_timeout;
-  // A learner has no vote; neither does a member that is not in its own newest membership.
+  // Only a voter of this node's latest membership grants votes; a learner or removed member does
+  // not.
   bool grant = membership_.isVoter(options_.id) && message.term >= hard_state_.term &&
-               logIsCurrent(message.log_index, message.log_term);
+               isLogUpToDate(message.log_index, message.log_term);
   if (pre_vote) {
     grant = grant && role_ != RaftRole::kLeader && !hears_leader && message.term > hard_state_.term;
   } else {
--- a/core/consensus/raft_messages.h
+++ b/core/consensus/raft_messages.h
@@ -1,5 +1,6 @@
 // Types that Raft persists and sends (Ongaro and Ousterhout, "In Search of an Understandable
-// Consensus Algorithm", ATC 2014; section numbers below are of Ongaro's thesis).
+// Consensus Algorithm", ATC 2014). Section numbers in core/consensus refer to Ongaro's thesis
+// unless stated otherwise.
 #pragma once
 
 #include <cstdint>
@@ -8,17 +9,17 @@
 
 namespace ramppond {
 
-/// A member's identity is the random number it drew when its data folder was empty. A member
-/// whose disk was wiped therefore comes back as somebody else: it is in nobody's membership,
-/// so it neither votes nor counts until it has been added through the log.
+/// Identifies a member. A member whose data folder is empty draws a random id, so a member whose
+/// disk was wiped comes back under an id that is in no membership: it neither votes nor counts
+/// towards a quorum until it has been added through the log.
 using NodeId = std::uint64_t;
 using Term = std::uint64_t;
 using LogIndex = std::uint64_t;
 
 struct Member {
   NodeId id = 0;
-  std::string name;     ///< For operators.
-  std::string address;  ///< HOST:PORT of its control port.
+  std::string name;     ///< Shown to operators.
+  std::string address;  ///< HOST:PORT of the member's control port.
   bool voter = false;   ///< False for a learner (4.2.1).
 
   template <class Visitor>
@@ -41,7 +42,7 @@
   [[nodiscard]] const Member* findByName(const std::string& name) const;
   [[nodiscard]] bool isVoter(NodeId id) const;
   [[nodiscard]] std::size_t voterCount() const;
-  /// Votes that make a majority of the voters.
+  /// Number of votes that form a majority of the voters.
   [[nodiscard]] std::size_t quorum() const { return voterCount() / 2 + 1; }
 };
 
@@ -64,9 +65,9 @@
   }
 };
 
-/// What must be on disk before a message that depends on it is sent (3.8).
+/// State that must be on disk before a message that depends on it is sent (3.8).
 struct HardState {
-  std::uint64_t group_id = 0;  ///< Drawn at bootstrap; messages of other groups are refused.
+  std::uint64_t group_id = 0;  ///< Set at bootstrap; messages of other groups are dropped.
   Term term = 0;
   NodeId voted_for = 0;
 
@@ -82,7 +83,7 @@
 };
 
 struct Snapshot {
-  LogIndex index = 0;  ///< Last entry it covers; 0 for none.
+  LogIndex index = 0;  ///< Index of the last entry covered; 0 for no snapshot.
   Term term = 0;
   Membership membership;
   std::string state;  ///< The encoded state machine.
@@ -106,18 +107,18 @@
   kSnapshotRequest = 6,
 };
 
-/// One message for all types; unused fields stay at their defaults and cost nothing encoded.
+/// A message of any RaftMessageType. Fields that a type does not use keep their defaults.
 struct RaftMessage {
   RaftMessageType type = RaftMessageType::kAppendRequest;
   std::uint64_t group_id = 0;
   NodeId from = 0;
   NodeId to = 0;
   Term term = 0;
-  LogIndex log_index = 0;   ///< Votes: last index. Append: previous index. Reply: match.
+  LogIndex log_index = 0;   ///< Vote: last index. Append: previous index. Reply: matching index.
   Term log_term = 0;        ///< Term at `log_index`.
   LogIndex commit = 0;      ///< Leader's commit index.
-  bool accepted = false;    ///< Replies.
-  std::uint64_t round = 0;  ///< Heartbeat round, echoed; serves read index (6.4).
+  bool accepted = false;    ///< Replies only.
+  std::uint64_t round = 0;  ///< Heartbeat round, echoed by replies; used by read index (6.4).
   std::vector<LogEntry> entries;
   Snapshot snapshot;
 
@@ -138,9 +139,9 @@
   }
 };
 
-/// Raft messages for one member, sent together.
+/// Raft messages to one member, sent together.
 struct RaftBatch {
-  std::string sender_address;  ///< Where the sender takes answers.
+  std::string sender_address;  ///< HOST:PORT to which replies are sent.
   std::vector<RaftMessage> messages;
 
   template <class Visitor>
--- a/core/consensus/raft_replication.cc
+++ b/core/consensus/raft_replication.cc
@@ -1,4 +1,4 @@
-// Replication: appending, committing, snapshots and members that catch up (Raft paper 5.3, 7).
+// RaftNode: log replication, commit, snapshots and promotion of learners (Raft paper 5.3, 7).
 #include <algorithm>
 #include <utility>
 
@@ -85,7 +85,7 @@
   for (const LogEntry& entry : message.entries) {
     match = entry.index;
     if (entry.index <= snapshot_.index) {
-      continue;  // Covered by our snapshot, hence committed and equal.
+      continue;  // Covered by this node's snapshot, hence committed and equal.
     }
     const auto present = termAt(entry.index);
     if (present == entry.term) {
@@ -126,7 +126,7 @@
   if (role_ != RaftRole::kLeader) {
     return;
   }
-  // Tell followers of a new commit at once; they apply without waiting for a heartbeat.
+  // Sends a new commit index at once, so that followers apply it without waiting for a heartbeat.
   if (commit_ > commit_before) {
     broadcastAppend();
   } else if (progress.next <= lastIndex()) {
@@ -142,7 +142,7 @@
   if (snapshot.index > commit_) {
     log_.clear();
     snapshot_ = snapshot;
-    commit_ = applied_ = handed_out_ = snapshot.index;
+    commit_ = applied_ = delivered_ = snapshot.index;
     stable_ = written_ = snapshot.index;
     truncate_from_.reset();
     install_snapshot_ = snapshot;
@@ -151,7 +151,7 @@
   reply(message, RaftMessageType::kAppendReply, true, snapshot.index);
 }
 
-// Commits the highest index of this term that a quorum has on disk (3.6.2).
+// Advances the commit index to the highest index of this term that a quorum has on disk (3.6.2).
 void RaftNode::advanceCommit() {
   std::vector<LogIndex> matches;
   for (const Member& member : membership_.members) {
@@ -169,12 +169,12 @@
   const LogIndex candidate = matches[membership_.quorum() - 1];
   if (candidate > commit_ && termAt(candidate) == hard_state_.term) {
     commit_ = candidate;
-    leaveIfRemoved();
+    stepDownIfRemoved();
   }
 }
 
-// A leader that is no longer a voter steps down once that is committed (4.2.2).
-void RaftNode::leaveIfRemoved() {
+// A leader that is no longer a voter steps down once its removal is committed (4.2.2).
+void RaftNode::stepDownIfRemoved() {
   const bool committed = membership_index_ <= commit_;
   if (role_ == RaftRole::kLeader && committed && !membership_.isVoter(options_.id)) {
     becomeFollower(hard_state_.term, 0);
--- a/core/consensus/snapshot_policy.cc
+++ b/core/consensus/snapshot_policy.cc
@@ -5,8 +5,9 @@
 namespace ramppond {
 namespace {
 
-// A log smaller than this is applied in no time, whatever the snapshot's size.
-constexpr std::uint64_t least_log_bytes = 256U << 10U;
+// A log smaller than this is applied in negligible time, so it needs no
+// snapshot, however small the last one was.
+constexpr std::uint64_t min_log_bytes = 256U << 10U;
 
 }  // namespace
 
@@ -18,7 +19,7 @@
     return false;
   }
   const auto allowed = this->snapshot.value * this->limits.max_log_ratio;
-  return this->log.value >= std::max(allowed, least_log_bytes);
+  return this->log.value >= std::max(allowed, min_log_bytes);
 }
 
 }  // namespace ramppond
--- a/core/consensus/snapshot_policy.h
+++ b/core/consensus/snapshot_policy.h
@@ -1,9 +1,9 @@
-// When a member of the control group replaces its log by a snapshot.
+// Decides when a control member replaces its log with a snapshot.
 //
-// A member that starts applies its whole log before it can serve, and an entry
-// may hold a whole configuration. The log is therefore bounded not only in
-// entries but in bytes, as a multiple of the snapshot that replaces it: the
-// cost of snapshots stays a fixed share of the cost of the log (Raft paper,
+// A member applies its whole log at startup before it can serve, and an entry
+// may hold a whole configuration. The log is therefore bounded both in entries
+// and in bytes. The byte limit is a multiple of the snapshot's size, so that
+// the cost of snapshots stays a fixed share of the cost of the log (Raft paper,
 // section 7). Pure, not thread safe.
 #pragma once
 
@@ -17,9 +17,10 @@
 };
 
 struct snapshot_limits {
-  /// Entries applied since the last snapshot, at most.
+  /// Maximum number of entries applied since the last snapshot.
   std::uint64_t entries = 20000;
-  /// Their bytes, at most, as a multiple of the last snapshot's; 0 for no limit.
+  /// Maximum size of these entries as a multiple of the last snapshot's size;
+  /// 0 for no limit.
   std::uint64_t max_log_ratio = 0;
 };
 
@@ -32,7 +33,7 @@
     this->log.value += entry.value;
   }
 
-  /// A snapshot of this size now stands for all that was applied.
+  /// A snapshot of this size has replaced all applied entries.
   void on_snapshot(byte_count size) {
     this->entries = 0;
     this->log = byte_count();
--- a/core/control/control_core.cc
+++ b/core/control/control_core.cc
@@ -5,9 +5,10 @@
 namespace ramppond {
 namespace {
 
-// A follower that has not heard from a leader for this long says so in every answer.
+// A follower that has not heard from a leader for this many election timeouts reports in its
+// answers that it is not authoritative.
 constexpr std::int64_t kAuthorityElectionTimeouts = 3;
-constexpr std::size_t kMaximumHeardAddresses = 64;
+constexpr std::size_t kMaximumSenderAddresses = 64;
 
 }  // namespace
 
@@ -29,8 +30,8 @@
   if (member != nullptr) {
     return member->address;
   }
-  const auto heard = heard_addresses_.find(id);
-  return heard == heard_addresses_.end() ? std::string() : heard->second;
+  const auto heard = sender_addresses_.find(id);
+  return heard == sender_addresses_.end() ? std::string() : heard->second;
 }
 
 std::string ControlCore::leaderAddress() const {
@@ -108,7 +109,7 @@
   self.name = options_.name;
   self.address = options_.address;
   self.voter = true;
-  // The first member's own number names the group: it was drawn at random for an empty folder.
+  // The first member's id, drawn at random for its empty data folder, becomes the group id.
   if (!raft_.bootstrap(raft_.id(), self, now)) {
     answerError(token, ErrorKind::kVersionConflict,
                 "this member already belongs to a group or has a log; nothing was changed");
@@ -143,9 +144,11 @@
 }
 
 void ControlCore::answerRead(std::uint64_t read_id, bool ready) {
-  if (const auto proof = proof_reads_.find(read_id); proof != proof_reads_.end()) {
-    ready ? proof_.on_index(proof->second, applied_) : proof_.on_failed(proof->second);
-    proof_reads_.erase(proof);
+  if (const auto confirmation = confirmation_reads_.find(read_id);
+      confirmation != confirmation_reads_.end()) {
+    ready ? read_index_.on_read_index(confirmation->second, applied_)
+          : read_index_.on_failed(confirmation->second);
+    confirmation_reads_.erase(confirmation);
     return;
   }
   const auto found = reads_.find(read_id);
@@ -164,7 +167,7 @@
   if (request.type == ControlRequestType::kPoll) {
     HeldPoll poll;
     poll.request = request.poll;
-    hasNews(poll, reply);
+    hasUpdates(poll, reply);
     answer(token, std::move(reply));
     return;
   }
@@ -194,10 +197,10 @@
 void ControlCore::onRaftMessage(const RaftMessage& message, const std::string& sender_address,
                                 TimePoint now) {
   if (raft_.membership().find(message.from) == nullptr && message.to == raft_.id()) {
-    if (heard_addresses_.size() >= kMaximumHeardAddresses) {
-      heard_addresses_.clear();
+    if (sender_addresses_.size() >= kMaximumSenderAddresses) {
+      sender_addresses_.clear();
     }
-    heard_addresses_[message.from] = sender_address;
+    sender_addresses_[message.from] = sender_address;
   }
   raft_.step(message, now);
   const bool from_leader = message.type == RaftMessageType::kAppendRequest ||
@@ -218,15 +221,15 @@
   counters_.elections_won += leads && !was_leader_ ? 1 : 0;
   if (leads && !was_leader_) {
     quotas_.restart(now);
-    evidence_kept_ = 0;
+    proposed_evidence_counter_ = 0;
   }
   was_leader_ = leads;
   failPendingIfNotLeader();
   changeMembersIfDue(now);
-  keepEvidence(now);
-  takeKeptEvidence(now);
+  proposeEvidence(now);
+  loadReplicatedEvidence(now);
   answerHeldPolls(now);
-  proveStateForPolls(now);
+  startConfirmationRound(now);
   answerHeldProxyPolls(now);
   if (now >= next_pull_) {
     next_pull_ = now + options_.session_pull_interval;
@@ -281,7 +284,7 @@
   if (configuration_changed_) {
     answerHeldPolls(now);
   }
-  proof_.on_applied(applied_);
+  read_index_.on_applied(applied_);
   answerHeldProxyPolls(now);
 }
 
@@ -295,13 +298,14 @@
     if (command) {
       result = state_.apply(*command, {entry.term, entry.index});
       traffic_history_.on_in_force(state_.traffic().logIndex(), state_.traffic().configuration());
-      evidence_to_take_ = evidence_to_take_ || command->type == CommandType::kRecordEvidence;
+      replicated_evidence_changed_ =
+          replicated_evidence_changed_ || command->type == CommandType::kRecordEvidence;
     } else {
       result.error = ErrorKind::kMalformedRequest;
     }
     if (before != state_.configuration().version) {
       configuration_changed_ = true;
-      rememberDelta(*command, before);
+      recordDelta(*command, before);
     }
   }
   state_.setGroupId(raft_.groupId());
@@ -330,7 +334,7 @@
   state_.setGroupId(raft_.groupId());
   applied_ = snapshot.index;
   snapshots_.on_snapshot({snapshot.state.size()});
-  evidence_to_take_ = true;
+  replicated_evidence_changed_ = true;
   configuration_changed_ = true;
   deltas_.clear();
 }
--- a/core/control/control_core.h
+++ b/core/control/control_core.h
@@ -1,7 +1,8 @@
 // All decisions of one control member: Raft, the replicated state, sessions and held polls.
 //
-// A pure state machine like DaemonCore. The driver feeds events, then runs the durability loop:
-// take(), write and sync what it holds, send what it holds, done().
+// A pure state machine like DaemonCore: no I/O, not thread safe. The driver feeds events and then
+// repeats while there is work: take(); write and sync what it returns; send the messages, requests
+// and answers; done(). The implementation is split by topic over control_*.cc.
 #pragma once
 
 #include <cstdint>
@@ -12,8 +13,8 @@
 #include <vector>
 
 #include "core/consensus/raft.h"
+#include "core/consensus/read_index_tracker.h"
 #include "core/consensus/snapshot_policy.h"
-#include "core/consensus/state_proof.h"
 #include "core/control/control_messages.h"
 #include "core/control/control_state.h"
 #include "core/control/server_registry.h"
@@ -27,23 +28,24 @@
 
 struct ControlOptions {
   std::string name;
-  std::string address;  ///< HOST:PORT of the own control port.
-  std::string zone;     ///< Of the own machine; empty for unknown.
+  std::string address;  ///< HOST:PORT of this member's control port.
+  std::string zone;     ///< Zone of this member's machine; empty if unknown.
   RaftOptions raft;
   snapshot_limits snapshots;
   Duration session_pull_interval = milliseconds(500);
   Duration session_lifetime = seconds(30);
-  /// News of servers is handed out at most this often to one daemon; a fleet that starts at once
-  /// would otherwise cause as many answers as the square of its size.
-  Duration instance_news_spacing = milliseconds(100);
-  std::uint64_t registry_epoch = 1;  ///< Drawn at random for each start of the process.
+  /// Minimum time for which a daemon's poll is held before instance changes alone answer it.
+  /// Without it a fleet that starts at once would cause a number of answers that grows with the
+  /// square of its size.
+  Duration minimum_instance_update_interval = milliseconds(100);
+  std::uint64_t registry_epoch = 1;  ///< Drawn at random at each start of the process.
   QuotaBounds quota;
 };
 
-/// A poll is held for this long at the most, whatever it asks for.
-constexpr Duration kLongestPollHold = seconds(10);
+/// Maximum time for which a poll is held, whatever it requests.
+constexpr Duration kMaximumPollHold = seconds(10);
 
-/// Names one request that the driver waits to answer.
+/// Identifies a request whose answer the driver waits for.
 using ControlToken = std::uint64_t;
 
 struct ControlAnswer {
@@ -58,10 +60,11 @@
   ControlRequest request;
 };
 
-/// What the driver must do, in this order: persist `raft`'s and `snapshot`, send, answer.
+/// Work for the driver, in this order: persist `snapshot` and the state in `raft`, send the
+/// messages and requests, send the answers.
 struct ControlWork {
   RaftReady raft;
-  std::optional<Snapshot> snapshot;  ///< Replace the snapshot file, then drop old log.
+  std::optional<Snapshot> snapshot;  ///< Replace the snapshot file, then delete covered entries.
   std::vector<ControlAnswer> answers;
   std::vector<MemberRequest> member_requests;
   [[nodiscard]] bool empty() const {
@@ -83,20 +86,21 @@
   ControlCore(ControlOptions options, const RaftRecovery& recovery, TimePoint now);
 
   void onRequest(ControlToken token, const ControlRequest& request, TimePoint now);
-  /// The requester of a held poll closed its connection.
+  /// The client of a held poll closed its connection.
   void onRequesterGone(ControlToken token);
-  /// `sender_address` is where the sender takes answers: a new member's log does not say yet.
+  /// `sender_address` is where the sender takes replies. It is needed for a sender that is not in
+  /// this member's membership yet.
   void onRaftMessage(const RaftMessage& message, const std::string& sender_address, TimePoint now);
   void onMemberReply(std::uint64_t request_id, const std::optional<ControlReply>& reply,
                      TimePoint now);
-  /// Starts a group of several voters at once on empty disks (RaftNode::bootstrapGroup).
+  /// Starts a new group of several voters, see RaftNode::bootstrapGroup().
   bool bootstrapGroup(std::uint64_t group_id, const Membership& members, TimePoint now);
-  /// The platform's list of servers, which lags.
+  /// Replaces the server list of the platform, which lags behind the daemons' sessions.
   void onPlatformList(const std::vector<ServerInfo>& servers, TimePoint now);
   void tick(TimePoint now, std::int64_t wall_clock_ms);
 
   ControlWork take(TimePoint now);
-  /// The last take() is on disk and sent; applies what it committed.
+  /// Reports that `work`, the last take(), is persisted and sent. Applies its committed entries.
   void done(const ControlWork& work, TimePoint now);
 
   [[nodiscard]] const RaftNode& raft() const { return raft_; }
@@ -105,9 +109,9 @@
   [[nodiscard]] ControlStatus status(TimePoint now) const;
   [[nodiscard]] std::size_t listedServers() const { return registry_.listedServers(); }
   [[nodiscard]] std::size_t heldPolls() const { return polls_.size() + proxy_polls_.size(); }
-  /// Address of a member, for the driver to send Raft messages to.
+  /// Address to which Raft messages for a member are sent; empty if unknown.
   [[nodiscard]] std::string addressOf(NodeId id) const;
-  /// Hears from a leader, or is one with a quorum.
+  /// Whether this member is the leader or has recently heard from one.
   [[nodiscard]] bool authoritative(TimePoint now) const;
 
  private:
@@ -128,7 +132,7 @@
   };
   struct Joiner {
     Member member;
-    TimePoint asked{0};
+    TimePoint requested_at{0};
   };
   struct PendingProposal {
     ControlToken token = 0;
@@ -144,31 +148,31 @@
   void onProxyPoll(ControlToken token, const ControlRequest& request, TimePoint now);
   ProxyNews proxyNews(const ProxyPoll& poll, TimePoint now);
   void onQuotaReport(ControlToken token, const ControlRequest& request, TimePoint now);
-  void followLimits(TimePoint now);
-  void proveStateForPolls(TimePoint now);
-  void askLeaderForIndex(state_proof::round_id round);
-  [[nodiscard]] bool awaitsProof(const HeldProxyPoll& held, TimePoint now) const;
+  void updateQuotaLimits(TimePoint now);
+  void startConfirmationRound(TimePoint now);
+  void requestReadIndexFromLeader(read_index_tracker::round_id round);
+  [[nodiscard]] bool awaitsConfirmation(const HeldProxyPoll& held, TimePoint now) const;
   [[nodiscard]] bool mayAnswer(const HeldProxyPoll& held, TimePoint now) const;
-  [[nodiscard]] bool hasProxyNews(const HeldProxyPoll& held, TimePoint now) const;
+  [[nodiscard]] bool hasProxyUpdates(const HeldProxyPoll& held, TimePoint now) const;
   void answerProxyPoll(ControlToken token, const HeldProxyPoll& held, TimePoint now);
   void answerHeldProxyPolls(TimePoint now);
   void addTraffic(const ProxyPoll& poll, ProxyNews& news);
   void addMembers(const ProxyPoll& poll, ProxyNews& news) const;
   [[nodiscard]] ControlMemberPlace placeOf(const std::string& address) const;
-  void takeZone(const std::string& address, const ProxyNews& news);
-  void keepEvidence(TimePoint now);
-  void takeKeptEvidence(TimePoint now);
+  void recordMemberZone(const std::string& address, const ProxyNews& news);
+  void proposeEvidence(TimePoint now);
+  void loadReplicatedEvidence(TimePoint now);
   void onSessions(ControlToken token, const ControlRequest& request, TimePoint now);
   void requestRead(ControlToken token, const ControlRequest& request);
   void answerRead(std::uint64_t read_id, bool ready);
   std::optional<Snapshot> snapshotIfDue();
-  bool hasNews(const HeldPoll& poll, ControlReply& reply);
+  bool hasUpdates(const HeldPoll& poll, ControlReply& reply);
   void answerHeldPolls(TimePoint now);
   void answerPoll(ControlToken token, ControlReply reply, TimePoint now);
   void addProposal(ControlToken token, const std::optional<LogIndex>& index);
   void applyEntry(const LogEntry& entry);
   void installSnapshot(const Snapshot& snapshot);
-  void rememberDelta(const Command& command, ConfigurationVersion before);
+  void recordDelta(const Command& command, ConfigurationVersion before);
   void addConfiguration(ConfigurationVersion have, ControlReply& reply);
   const std::string& encodedConfiguration();
   void failPendingIfNotLeader();
@@ -187,36 +191,39 @@
   std::map<std::uint64_t, std::pair<ControlToken, ControlRequest>> reads_;
   std::uint64_t next_read_id_ = 1;
   std::uint64_t next_member_request_id_ = 1;
-  quota_ledger quotas_;                   ///< Of use while this member leads.
-  std::uint64_t quota_limits_index_ = 0;  ///< Log index of the configuration they are from.
-  state_proof proof_;
-  std::map<std::uint64_t, state_proof::round_id> proof_reads_;     ///< By the leader's read id.
-  std::map<std::uint64_t, state_proof::round_id> proof_requests_;  ///< By the request's id.
-  std::map<std::uint64_t, std::string> session_pulls_;             ///< Request id to address.
-  std::map<std::string, std::uint64_t> pulled_counters_;           ///< Address to sessions counter.
+  quota_ledger quotas_;                   ///< Used only while this member is the leader.
+  std::uint64_t quota_limits_index_ = 0;  ///< Log index of the configuration with these limits.
+  read_index_tracker read_index_;
+  /// Rounds in flight: by read id while this member is the leader, else by the request's id.
+  std::map<std::uint64_t, read_index_tracker::round_id> confirmation_reads_;
+  std::map<std::uint64_t, read_index_tracker::round_id> confirmation_requests_;
+  std::map<std::uint64_t, std::string> session_pulls_;    ///< Request id to address.
+  std::map<std::string, std::uint64_t> pulled_counters_;  ///< Address to sessions counter.
   std::map<std::string, KnownRegistry> pulled_registries_;
-  /// Address to zone, of this member and of those that answered it. Not in the log: a group begins
-  /// with the addresses of its members only.
+  /// Address to zone, of this member and of the members that have answered it. Not in the log,
+  /// since the initial membership holds addresses only.
   std::map<std::string, std::string> member_zones_;
   InstanceRegistry instances_;
   evidence_registry evidence_;
-  std::uint64_t evidence_kept_ = 0;  ///< Proposed by this leader up to here.
-  TimePoint next_evidence_kept_{0};
-  bool evidence_to_take_ = true;  ///< The replicated state may hold records not in `evidence_`.
+  /// Counter of `evidence_` up to which this leader has proposed its records.
+  std::uint64_t proposed_evidence_counter_ = 0;
+  TimePoint next_evidence_proposal_{0};
+  /// Whether the replicated state may hold records that are not in `evidence_`.
+  bool replicated_evidence_changed_ = true;
   std::map<ControlToken, HeldProxyPoll> proxy_polls_;
   std::vector<Joiner> joiners_;
   TimePoint next_member_change_{0};
   traffic_history traffic_history_;
-  std::map<NodeId, std::string> heard_addresses_;
+  std::map<NodeId, std::string> sender_addresses_;
   TimePoint next_pull_{0};
   LogIndex applied_ = 0;
   snapshot_policy snapshots_;
   std::vector<ControlAnswer> answers_;
   std::vector<MemberRequest> member_requests_;
   bool configuration_changed_ = false;
-  std::string encoded_configuration_;  ///< Of `encoded_version_`.
+  std::string encoded_configuration_;  ///< The configuration of `encoded_version_`.
   ConfigurationVersion encoded_version_;
-  std::deque<ConfigurationDelta> deltas_;  ///< The last steps, each on the one before.
+  std::deque<ConfigurationDelta> deltas_;  ///< The latest changes, consecutive, oldest first.
   bool was_leader_ = false;
   TimePoint last_contact_{0};
   ControlCounters counters_;
--- a/core/control/control_daemon_polls.cc
+++ b/core/control/control_daemon_polls.cc
@@ -1,4 +1,5 @@
-// Held polls of the daemons of the call port: configuration by differences, servers.
+// ControlCore: held polls of the call port's daemons, answered with configuration changes and
+// server lists.
 #include <algorithm>
 #include <numeric>
 
@@ -8,9 +9,10 @@
 namespace ramppond {
 namespace {
 
-// A daemon that is further behind than this gets the whole configuration.
-constexpr std::size_t kRememberedDeltas = 64;
-// Many changes at once are cheaper to hand out, and to apply, as the whole.
+// Number of configuration changes kept. A daemon that is further behind gets the whole
+// configuration.
+constexpr std::size_t kMaximumDeltas = 64;
+// Beyond this number of changes the whole configuration is cheaper to send and to apply.
 constexpr std::size_t kMaximumDeltaChanges = 100;
 
 }  // namespace
@@ -27,10 +29,10 @@
   }
   HeldPoll poll;
   poll.request = request;
-  poll.due = now + std::min(request.hold, kLongestPollHold);
+  poll.due = now + std::min(request.hold, kMaximumPollHold);
   ControlReply reply;
-  const bool news = hasNews(poll, reply);
-  if (news || request.hold <= Duration(0) || !authoritative(now)) {
+  const bool has_updates = hasUpdates(poll, reply);
+  if (has_updates || request.hold <= Duration(0) || !authoritative(now)) {
     answerPoll(token, std::move(reply), now);
     return;
   }
@@ -38,13 +40,13 @@
   polls_.emplace(token, std::move(poll));
 }
 
-// Fills `reply` with what the daemon does not have yet.
-bool ControlCore::hasNews(const HeldPoll& poll, ControlReply& reply) {
+// Adds to `reply` what the daemon does not have yet. Returns whether there is anything.
+bool ControlCore::hasUpdates(const HeldPoll& poll, ControlReply& reply) {
   const PollRequest& request = poll.request;
-  bool news = false;
+  bool has_updates = false;
   if (request.have < state_.configuration().version) {
     addConfiguration(request.have, reply);
-    news = true;
+    has_updates = true;
   }
   for (const ServiceInterest& interest : request.interests) {
     if (registry_.versionOf(interest.service) <= poll.seen_registry_version) {
@@ -54,10 +56,10 @@
         registry_.serversFor(interest.service, request.zone, request.session.server);
     if (servers.digest != interest.digest) {
       reply.services.push_back(std::move(servers));
-      news = true;
+      has_updates = true;
     }
   }
-  return news;
+  return has_updates;
 }
 
 const std::string& ControlCore::encodedConfiguration() {
@@ -75,30 +77,30 @@
   const std::size_t changes = std::accumulate(
       first, deltas_.end(), std::size_t{0},
       [](std::size_t sum, const ConfigurationDelta& delta) { return sum + delta.changes.size(); });
-  const bool holds_something = have != ConfigurationVersion{};
-  if (holds_something && first != deltas_.end() && changes <= kMaximumDeltaChanges) {
+  const bool has_version = have != ConfigurationVersion{};
+  if (has_version && first != deltas_.end() && changes <= kMaximumDeltaChanges) {
     reply.deltas.assign(first, deltas_.end());
     return;
   }
   reply.whole_configuration = encodedConfiguration();
 }
 
-void ControlCore::rememberDelta(const Command& command, ConfigurationVersion before) {
+void ControlCore::recordDelta(const Command& command, ConfigurationVersion before) {
   const Plan* plan = state_.findPlan(command.plan_id);
   if (plan == nullptr) {
     deltas_.clear();
     return;
   }
   deltas_.push_back({before, state_.configuration().version, plan->changes});
-  if (deltas_.size() > kRememberedDeltas) {
+  if (deltas_.size() > kMaximumDeltas) {
     deltas_.pop_front();
   }
 }
 
 void ControlCore::answerPoll(ControlToken token, ControlReply reply, TimePoint now) {
   reply.authoritative = authoritative(now);
-  const bool hands_out = !reply.whole_configuration.empty() || !reply.deltas.empty();
-  counters_.configuration_pushes += hands_out ? 1 : 0;
+  const bool sends_configuration = !reply.whole_configuration.empty() || !reply.deltas.empty();
+  counters_.configuration_pushes += sends_configuration ? 1 : 0;
   answer(token, std::move(reply));
 }
 
@@ -106,10 +108,11 @@
   for (auto held = polls_.begin(); held != polls_.end();) {
     HeldPoll& poll = held->second;
     ControlReply reply;
-    const bool look = configuration_changed_ || poll.seen_registry_version != registry_.version();
-    const bool news = look && hasNews(poll, reply);
+    const bool may_have_updates =
+        configuration_changed_ || poll.seen_registry_version != registry_.version();
+    const bool has_updates = may_have_updates && hasUpdates(poll, reply);
     poll.seen_registry_version = registry_.version();
-    if (!news && now < poll.due && authoritative(now)) {
+    if (!has_updates && now < poll.due && authoritative(now)) {
       ++held;
       continue;
     }
--- a/core/control/control_members.cc
+++ b/core/control/control_members.cc
@@ -1,4 +1,4 @@
-// Changes of the members of the control group.
+// ControlCore: membership changes of the control group, and session pulls by other members.
 #include <algorithm>
 
 #include "core/cbor_codec.h"
@@ -9,8 +9,9 @@
 namespace {
 
 constexpr Duration kMemberChangeInterval = milliseconds(100);
-// A joiner asks again well within this for as long as it is not a member.
-constexpr Duration kJoinerForgotten = seconds(2);
+// A join request expires after this time. A joiner repeats its request well within it until it is a
+// member.
+constexpr Duration kJoinRequestLifetime = seconds(2);
 constexpr std::size_t kMaximumJoiners = 16;
 
 }  // namespace
@@ -82,7 +83,7 @@
   next_member_change_ = now + kMemberChangeInterval;
   std::vector<Member> joiners;
   for (const Joiner& joiner : joiners_) {
-    if (now - joiner.asked < kJoinerForgotten) {
+    if (now - joiner.requested_at < kJoinRequestLifetime) {
       joiners.push_back(joiner.member);
     }
   }
--- a/core/control/control_messages.h
+++ b/core/control/control_messages.h
@@ -1,4 +1,4 @@
-// The protocol between daemons, operators and the control group.
+// Messages between daemons, operators and the control group.
 #pragma once
 
 #include <cstdint>
@@ -13,24 +13,24 @@
 namespace ramppond {
 
 enum class ControlRequestType : std::uint8_t {
-  kPoll = 0,               ///< A daemon's session: what is new for me?
-  kCommand = 1,            ///< Propose a command.
+  kPoll = 0,               ///< A call-port daemon reports its session and requests updates.
+  kCommand = 1,            ///< Proposes a command.
   kReadConfiguration = 2,  ///< Linearizable read.
   kListPlans = 3,
   kStatus = 4,
-  kIdentity = 5,  ///< Who is this member?
+  kIdentity = 5,  ///< Requests the member's identity; answered like kStatus.
   kBootstrap = 6,
   kAddMember = 7,
   kRemoveMember = 8,
-  kSessions = 9,      ///< Between control members: sessions changed since a counter.
+  kSessions = 9,      ///< Between control members: requests the sessions changed since a counter.
   kReadTraffic = 10,  ///< Linearizable read of the traffic configuration.
-  kJoin = 11,         ///< A control member asks the leader to be taken in.
-  kProxyPoll = 12,    ///< A daemon of the forwarding path: what is new for me?
-  kReadIndex = 13,    ///< A member asks the leader for its commit index, confirmed by a quorum.
-  kQuotaReport = 14,  ///< A daemon of the forwarding path tells the leader of tenants' requests.
+  kJoin = 11,         ///< A control member requests to be added to the group.
+  kProxyPoll = 12,    ///< A daemon of the forwarding path requests updates.
+  kReadIndex = 13,    ///< A member requests the leader's commit index, confirmed by a quorum.
+  kQuotaReport = 14,  ///< A daemon of the forwarding path reports tenants' requests to the leader.
 };
 
-/// A service of whose servers a daemon wants to know, with the digest of what it knows.
+/// A service whose servers a daemon subscribes to, and the digest of the list that it has.
 struct ServiceInterest {
   std::string service;
   std::uint64_t digest = 0;
@@ -42,14 +42,15 @@
   }
 };
 
-/// What a daemon says of itself.
+/// A daemon's report of its own state.
 struct DaemonSession {
   std::string server;
   std::uint64_t incarnation = 0;
   bool draining = false;
-  /// Wall clock of the daemon's start; orders the incarnations of one server.
+  /// Wall-clock time of the daemon's start; orders the incarnations of one server.
   std::int64_t started_ms = 0;
-  std::uint64_t changed = 0;  ///< Counter of the control member that holds the session.
+  /// Counter of the control member that holds the session, at the session's last change.
+  std::uint64_t changed = 0;
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -67,7 +68,7 @@
   ConfigurationVersion have;
   bool quorum_read = false;  ///< The configuration must be confirmed by a quorum.
   std::vector<ServiceInterest> interests;
-  Duration hold{0};  ///< How long the answer may wait for news.
+  Duration hold{0};  ///< How long the answer may be held until there is an update.
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -84,9 +85,9 @@
   ControlRequestType type = ControlRequestType::kPoll;
   PollRequest poll;
   Command command;
-  Member member;  ///< kAddMember; by name for kRemoveMember.
+  Member member;  ///< kAddMember, kJoin; kRemoveMember uses only its name.
   std::uint64_t sessions_since = 0;
-  NodeId sender = 0;         ///< Control members among themselves.
+  NodeId sender = 0;         ///< Set in requests between control members.
   std::string proxy_poll;    ///< kProxyPoll, kSessions: an encoded ProxyPoll.
   std::string quota_report;  ///< kQuotaReport: an encoded quota_report.
 
@@ -103,7 +104,8 @@
   }
 };
 
-/// The servers of one service, whole: lists are short, since they are bounded subsets.
+/// The complete list of servers that a daemon is given for one service. Lists are short, since they
+/// are bounded subsets (kMaximumServersPerService).
 struct ServiceServers {
   std::string service;
   std::uint64_t digest = 0;
@@ -117,12 +119,12 @@
   }
 };
 
-/// One member as an operator sees it.
+/// Status of one member as shown to operators.
 struct MemberStatus {
   Member member;
   bool leader = false;
-  bool heard = false;           ///< The leader has heard from it in this term.
-  std::uint64_t silent_ms = 0;  ///< Since the leader last heard from it.
+  bool heard = false;           ///< Whether the leader has heard from it in this term.
+  std::uint64_t silent_ms = 0;  ///< Time since the leader last heard from it.
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -160,8 +162,8 @@
   }
 };
 
-/// One confirmed step from a version to the next. Daemons apply it with applyChanges(), as the
-/// control group did.
+/// The confirmed changes from one configuration version to the next. Daemons apply them with
+/// applyChanges(), like the control group.
 struct ConfigurationDelta {
   ConfigurationVersion base;
   ConfigurationVersion version;
@@ -178,23 +180,23 @@
 struct ControlReply {
   ErrorKind error = ErrorKind::kNone;
   std::string reason;
-  std::string leader_address;  ///< Where to ask instead, if known.
-  /// False when the member does not hear from a leader: what it says may be old.
+  std::string leader_address;  ///< The leader's address; empty if unknown.
+  /// False if the member does not hear from a leader, so that its data may be stale.
   bool authoritative = false;
   bool has_configuration = false;
   bool quorum_confirmed = false;
   Configuration configuration;
-  /// For daemons: an encoded Configuration, made once for all of them; empty if there is no news.
+  /// For daemons: an encoded Configuration, encoded once for all of them; empty if it is not sent.
   std::string whole_configuration;
-  std::vector<ConfigurationDelta> deltas;  ///< In place of the whole, oldest first.
-  std::vector<ServiceServers> services;    ///< Those that differ from what the daemon has.
+  std::vector<ConfigurationDelta> deltas;  ///< Sent instead of the whole, oldest first.
+  std::vector<ServiceServers> services;    ///< The lists that differ from what the daemon has.
   CommandResult result;
   std::vector<Plan> plans;
   ControlStatus status;
   std::vector<DaemonSession> sessions;
   std::uint64_t sessions_counter = 0;
   std::string proxy_news;        ///< kProxyPoll, kSessions: an encoded ProxyNews.
-  std::string traffic_document;  ///< kReadTraffic: the operator's text; empty before the first.
+  std::string traffic_document;  ///< kReadTraffic: the operator's text; empty if there is none.
   LogIndex read_index = 0;       ///< kReadIndex.
   std::string quota_answer;      ///< kQuotaReport: an encoded quota_answer.
 
--- a/core/control/control_proxy_polls.cc
+++ b/core/control/control_proxy_polls.cc
@@ -1,4 +1,5 @@
-// Held polls of the daemons of the forwarding path: routes, records of servers, members.
+// ControlCore: held polls of the forwarding path's daemons, answered with the traffic
+// configuration, instance records, crash evidence and the control members.
 #include <algorithm>
 #include <utility>
 
@@ -8,16 +9,17 @@
 namespace ramppond {
 namespace {
 
-// A round of confirmation takes a few round trips between members. Without it a poll that is due is
-// answered all the same: news is worth having unconfirmed.
-constexpr Duration kProofWait = milliseconds(250);
-// Ends of servers that come together are kept by one entry of the log.
-constexpr Duration kEvidenceInterval = milliseconds(200);
-constexpr std::size_t kMostEvidenceAnEntry = 32;
-// A daemon that has just begun to ask is told of all servers in answers of this length, one after
-// the other: what a member holds for each of its daemons at a time, about 30 KB, does not grow with
-// the number of servers.
-constexpr std::size_t kMostRecordsAnAnswer = 256;
+// Maximum time for which a poll that is due waits for a quorum's confirmation, which takes a few
+// round trips between members. It is then answered without, since unconfirmed updates are still
+// useful.
+constexpr Duration kMaximumConfirmationWait = milliseconds(250);
+// Evidence of crashes that come shortly after each other is batched into one log entry.
+constexpr Duration kEvidenceProposalInterval = milliseconds(200);
+constexpr std::size_t kMaximumEvidencePerEntry = 32;
+// A daemon that starts to poll gets the records of all servers in consecutive answers of this size.
+// This bounds the memory that a member needs per daemon to about 30 KB, however many servers there
+// are.
+constexpr std::size_t kMaximumRecordsPerAnswer = 256;
 
 }  // namespace
 
@@ -37,7 +39,7 @@
   HeldProxyPoll held;
   held.poll = *poll;
   held.received = now;
-  held.due = now + std::min(poll->hold, kLongestPollHold);
+  held.due = now + std::min(poll->hold, kMaximumPollHold);
   if (mayAnswer(held, now)) {
     answerProxyPoll(token, held, now);
     return;
@@ -45,22 +47,23 @@
   proxy_polls_.emplace(token, std::move(held));
 }
 
-// A daemon that has a configuration is told at once that this member hears no leader, and asks
-// another. One that has none yet waits here: after a start of everything, all members are electing.
+// While this member hears no leader, a poll of a daemon that has a configuration is answered at
+// once as not authoritative, so that the daemon polls another member. A daemon without a
+// configuration is held: when the whole system starts, every member is still electing.
 bool ControlCore::mayAnswer(const HeldProxyPoll& held, TimePoint now) const {
   if (now >= held.due) {
-    return !awaitsProof(held, now);
+    return !awaitsConfirmation(held, now);
   }
-  return authoritative(now) ? hasProxyNews(held, now) : held.poll.traffic_index != 0;
+  return authoritative(now) ? hasProxyUpdates(held, now) : held.poll.traffic_index != 0;
 }
 
-bool ControlCore::hasProxyNews(const HeldProxyPoll& held, TimePoint now) const {
+bool ControlCore::hasProxyUpdates(const HeldProxyPoll& held, TimePoint now) const {
   const ProxyPoll& poll = held.poll;
   if (poll.traffic_index < state_.traffic().logIndex() ||
       poll.registry_epoch != options_.registry_epoch) {
     return true;
   }
-  // The daemon's own record is known here in a newer form: it restarted with an older number.
+  // This member has a newer record of the daemon itself: the daemon restarted with an older number.
   const InstanceRecord* own = poll.has_self ? instances_.find(poll.self.proxy_address) : nullptr;
   if (own != nullptr && own->isNewerThan(poll.self)) {
     return true;
@@ -72,61 +75,64 @@
     return false;
   }
   const std::uint64_t changes = instances_.counter() - poll.registry_counter;
-  return changes >= kMostRecordsAnAnswer || now - held.received >= options_.instance_news_spacing;
+  return changes >= kMaximumRecordsPerAnswer ||
+         now - held.received >= options_.minimum_instance_update_interval;
 }
 
-bool ControlCore::awaitsProof(const HeldProxyPoll& held, TimePoint now) const {
-  return held.poll.wants_proof && !proof_.covers(held.received) && authoritative(now) &&
-         now - held.received < std::max(held.due - held.received, kProofWait);
+bool ControlCore::awaitsConfirmation(const HeldProxyPoll& held, TimePoint now) const {
+  return held.poll.wants_proof && !read_index_.covers(held.received) && authoritative(now) &&
+         now - held.received < std::max(held.due - held.received, kMaximumConfirmationWait);
 }
 
-// One round for all polls that came since the last one.
-void ControlCore::proveStateForPolls(TimePoint now) {
+// Starts one confirmation round for all polls that have arrived since the last round.
+void ControlCore::startConfirmationRound(TimePoint now) {
   const bool wanted = std::any_of(proxy_polls_.begin(), proxy_polls_.end(), [&](const auto& entry) {
-    return entry.second.poll.wants_proof && !proof_.covers(entry.second.received);
+    return entry.second.poll.wants_proof && !read_index_.covers(entry.second.received);
   });
   if (!wanted || raft_.leader() == 0) {
     return;
   }
-  const auto round = proof_.begin(now);
+  const auto round = read_index_.begin(now);
   if (!round) {
     return;
   }
   if (raft_.role() != RaftRole::kLeader) {
-    askLeaderForIndex(*round);
+    requestReadIndexFromLeader(*round);
     return;
   }
   const std::uint64_t read_id = next_read_id_++;
-  proof_reads_[read_id] = *round;
+  confirmation_reads_[read_id] = *round;
   raft_.requestRead(read_id);
 }
 
-void ControlCore::askLeaderForIndex(state_proof::round_id round) {
-  MemberRequest question;
-  question.address = leaderAddress();
-  question.request_id = next_member_request_id_++;
-  question.request.type = ControlRequestType::kReadIndex;
-  question.request.sender = raft_.id();
-  proof_requests_[question.request_id] = round;
-  member_requests_.push_back(std::move(question));
+void ControlCore::requestReadIndexFromLeader(read_index_tracker::round_id round) {
+  MemberRequest member_request;
+  member_request.address = leaderAddress();
+  member_request.request_id = next_member_request_id_++;
+  member_request.request.type = ControlRequestType::kReadIndex;
+  member_request.request.sender = raft_.id();
+  confirmation_requests_[member_request.request_id] = round;
+  member_requests_.push_back(std::move(member_request));
 }
 
-// Members hold evidence in memory and daemons tell it again, but all may lose power at once.
-void ControlCore::keepEvidence(TimePoint now) {
-  if (raft_.role() != RaftRole::kLeader || now < next_evidence_kept_ ||
-      evidence_kept_ == evidence_.counter()) {
+// Proposes evidence for the log. Members hold it in memory and daemons report it again, but it
+// would be lost if all of them lost power at once.
+void ControlCore::proposeEvidence(TimePoint now) {
+  if (raft_.role() != RaftRole::kLeader || now < next_evidence_proposal_ ||
+      proposed_evidence_counter_ == evidence_.counter()) {
     return;
   }
-  next_evidence_kept_ = now + kEvidenceInterval;
+  next_evidence_proposal_ = now + kEvidenceProposalInterval;
   evidence_batch batch;
   for (const instance_evidence& evidence :
-       evidence_.changes_since(evidence_kept_, std::string(), now)) {
-    if (state_.evidence().wants(evidence) && batch.records.size() < kMostEvidenceAnEntry) {
+       evidence_.changes_since(proposed_evidence_counter_, std::string(), now)) {
+    if (state_.evidence().wants(evidence) && batch.records.size() < kMaximumEvidencePerEntry) {
       batch.records.push_back(evidence);
     }
   }
-  if (batch.records.size() < kMostEvidenceAnEntry) {
-    evidence_kept_ = evidence_.counter();  // Otherwise the rest follows with the next entry.
+  if (batch.records.size() < kMaximumEvidencePerEntry) {
+    // A full batch leaves the counter as it is, so that the rest follows with the next entry.
+    proposed_evidence_counter_ = evidence_.counter();
   }
   if (batch.records.empty()) {
     return;
@@ -138,8 +144,8 @@
   raft_.propose(encode(command));
 }
 
-void ControlCore::takeKeptEvidence(TimePoint now) {
-  if (!std::exchange(evidence_to_take_, false)) {
+void ControlCore::loadReplicatedEvidence(TimePoint now) {
+  if (!std::exchange(replicated_evidence_changed_, false)) {
     return;
   }
   for (const instance_evidence& evidence : state_.evidence().records_at(wall_clock_ms_)) {
@@ -183,8 +189,8 @@
   }
 }
 
-// Each member is the authority on its own zone.
-void ControlCore::takeZone(const std::string& address, const ProxyNews& news) {
+// Takes from a member's answer only that member's own zone, on which it is the authority.
+void ControlCore::recordMemberZone(const std::string& address, const ProxyNews& news) {
   for (const ControlMemberPlace& place : placesOf(news)) {
     if (place.address == address && !place.zone.empty()) {
       member_zones_[address] = place.zone;
@@ -197,13 +203,13 @@
   addTraffic(poll, news);
   const bool knows_this_member = poll.registry_epoch == options_.registry_epoch;
   news.registry_epoch = options_.registry_epoch;
-  // Members, which ask without a record of their own, are told all at once.
-  const std::size_t most = poll.has_self ? kMostRecordsAnAnswer : instances_.size();
+  // Control members poll without a record of their own and get all records at once.
+  const std::size_t maximum = poll.has_self ? kMaximumRecordsPerAnswer : instances_.size();
   RegistryChanges changes = instances_.changesSince(knows_this_member ? poll.registry_counter : 0,
-                                                    most, poll.record_digests);
+                                                    maximum, poll.record_digests);
   news.registry_counter = changes.counter;
   news.instances = std::move(changes.records);
-  // Members are told all evidence, a daemon that of its server's service.
+  // Control members get all evidence, a daemon only that of its server's service.
   news.evidence_counter = evidence_.counter();
   if (!poll.has_self || !poll.evidence_service.empty()) {
     const std::uint64_t since = knows_this_member ? poll.evidence_counter : 0;
@@ -223,7 +229,7 @@
   counters_.configuration_pushes += news.traffic_index == 0 ? 0 : 1;
   ControlReply reply;
   reply.authoritative = authoritative(now);
-  reply.quorum_confirmed = proof_.covers(held.received);
+  reply.quorum_confirmed = read_index_.covers(held.received);
   reply.proxy_news = encode(news);
   answer(token, std::move(reply));
 }
--- a/core/control/control_quotas.cc
+++ b/core/control/control_quotas.cc
@@ -1,10 +1,10 @@
-// Reports of daemons on the requests of tenants, taken by the leader.
+// ControlCore: daemons' reports of tenants' requests, collected and answered by the leader.
 #include "core/cbor_codec.h"
 #include "core/control/control_core.h"
 
 namespace ramppond {
 
-void ControlCore::followLimits(TimePoint now) {
+void ControlCore::updateQuotaLimits(TimePoint now) {
   if (quota_limits_index_ != state_.traffic().logIndex()) {
     quota_limits_index_ = state_.traffic().logIndex();
     quotas_.set_limits(state_.traffic().configuration().tenants, now);
@@ -21,7 +21,7 @@
     answerError(token, ErrorKind::kNotLeader, "this member does not lead");
     return;
   }
-  followLimits(now);
+  updateQuotaLimits(now);
   quotas_.on_report(*report, now);
   const auto latest = quotas_.answer(now);
   if (!latest) {
--- a/core/control/control_session_pulls.cc
+++ b/core/control/control_session_pulls.cc
@@ -1,10 +1,11 @@
-// What a member learns from the other members: daemons' sessions, servers, evidence, proven reads.
+// ControlCore: requests to the other members for sessions, instance records, evidence, zones and
+// the read index.
 #include "core/cbor_codec.h"
 #include "core/control/control_core.h"
 
 namespace ramppond {
 
-// Learns the sessions that other members hold: each is asked what changed since the last time.
+// Requests from each other member what changed there since its last answer.
 void ControlCore::pullSessions() {
   session_pulls_.clear();
   for (const Member& member : raft_.membership().members) {
@@ -31,11 +32,13 @@
 
 void ControlCore::onMemberReply(std::uint64_t request_id, const std::optional<ControlReply>& reply,
                                 TimePoint now) {
-  if (const auto proof = proof_requests_.find(request_id); proof != proof_requests_.end()) {
+  if (const auto confirmation = confirmation_requests_.find(request_id);
+      confirmation != confirmation_requests_.end()) {
     const bool confirmed = reply && reply->error == ErrorKind::kNone && reply->quorum_confirmed;
-    confirmed ? proof_.on_index(proof->second, reply->read_index) : proof_.on_failed(proof->second);
-    proof_requests_.erase(proof);
-    proof_.on_applied(applied_);
+    confirmed ? read_index_.on_read_index(confirmation->second, reply->read_index)
+              : read_index_.on_failed(confirmation->second);
+    confirmation_requests_.erase(confirmation);
+    read_index_.on_applied(applied_);
     return;
   }
   const auto pull = session_pulls_.find(request_id);
@@ -49,7 +52,7 @@
   if (!reply) {
     return;
   }
-  // A counter that ran backwards means that the member restarted: start over with it.
+  // A counter that went backwards means that the member restarted: fetch everything again.
   counter = reply->sessions_counter < counter ? 0 : reply->sessions_counter;
   for (const DaemonSession& session : reply->sessions) {
     registry_.onSession(session, now);
@@ -58,7 +61,7 @@
   if (!news) {
     return;
   }
-  takeZone(address, *news);
+  recordMemberZone(address, *news);
   known = {news->registry_epoch, news->registry_counter, news->evidence_counter};
   for (const auto& record : news->instances) {
     instances_.offer(record.value);
--- a/core/control/control_state.cc
+++ b/core/control/control_state.cc
@@ -26,13 +26,13 @@
 }
 
 CommandResult ControlState::apply(const Command& command, ConfigurationVersion version) {
-  const auto remembered = results_.find(command.operator_request_id);
-  if (!command.operator_request_id.empty() && remembered != results_.end()) {
-    return remembered->second;
+  const auto stored = results_.find(command.operator_request_id);
+  if (!command.operator_request_id.empty() && stored != results_.end()) {
+    return stored->second;
   }
   CommandResult result = applyOnce(command, version);
   if (!command.operator_request_id.empty()) {
-    remember(command.operator_request_id, result);
+    storeResult(command.operator_request_id, result);
   }
   return result;
 }
@@ -48,30 +48,31 @@
       return reject(command);
     case CommandType::kClaim:
       expireClaims(command.leader_clock_ms);
-      for (const ClaimCommand& wanted : command.claims) {
-        result.claims.push_back(claim(wanted, command.leader_clock_ms));
+      for (const ClaimCommand& requested : command.claims) {
+        result.claims.push_back(claim(requested, command.leader_clock_ms));
       }
       return result;
     case CommandType::kCompleteClaim:
       std::for_each(command.claims.begin(), command.claims.end(),
-                    [this](const ClaimCommand& done) { completeClaim(done); });
+                    [this](const ClaimCommand& completed) { completeClaim(completed); });
       return result;
     case CommandType::kReleaseClaim:
       std::for_each(command.claims.begin(), command.claims.end(),
-                    [this](const ClaimCommand& given_up) { releaseClaim(given_up); });
+                    [this](const ClaimCommand& released) { releaseClaim(released); });
       return result;
     case CommandType::kReplaceTraffic:
       return replaceTraffic(command, version);
     case CommandType::kRecordEvidence:
-      return keepEvidence(command);
+      return recordEvidence(command);
   }
   return failure(ErrorKind::kMalformedRequest, "unknown type of command");
 }
 
-void ControlState::remember(const std::string& operator_request_id, const CommandResult& result) {
+void ControlState::storeResult(const std::string& operator_request_id,
+                               const CommandResult& result) {
   results_[operator_request_id] = result;
   result_order_.push_back(operator_request_id);
-  while (result_order_.size() > kRememberedResults) {
+  while (result_order_.size() > kMaximumStoredResults) {
     results_.erase(result_order_.front());
     result_order_.pop_front();
   }
@@ -99,13 +100,13 @@
   result.version = configuration_.version;
   result.lines = plan.lines;
   plans_.push_back(std::move(plan));
-  while (plans_.size() > kRememberedPlans) {
+  while (plans_.size() > kMaximumStoredPlans) {
     plans_.pop_front();
   }
   return result;
 }
 
-Plan* ControlState::openPlan(std::uint64_t id, CommandResult& result) {
+Plan* ControlState::findOpenPlan(std::uint64_t id, CommandResult& result) {
   const auto found =
       std::find_if(plans_.begin(), plans_.end(), [&](const Plan& plan) { return plan.id == id; });
   if (found == plans_.end()) {
@@ -123,7 +124,7 @@
 
 CommandResult ControlState::confirm(const Command& command, ConfigurationVersion version) {
   CommandResult result;
-  Plan* plan = openPlan(command.plan_id, result);
+  Plan* plan = findOpenPlan(command.plan_id, result);
   if (plan == nullptr) {
     return result;
   }
@@ -147,7 +148,7 @@
 
 CommandResult ControlState::reject(const Command& command) {
   CommandResult result;
-  Plan* plan = openPlan(command.plan_id, result);
+  Plan* plan = findOpenPlan(command.plan_id, result);
   if (plan != nullptr) {
     plan->state = PlanState::kRejected;
     result.plan_id = plan->id;
@@ -161,13 +162,13 @@
   if (!replacement) {
     return failure(ErrorKind::kMalformedRequest, "not a replacement of the traffic configuration");
   }
-  TrafficResult taken = traffic_.apply(*replacement, version.index);
-  CommandResult result = failure(taken.error, std::move(taken.reason));
+  TrafficResult applied = traffic_.apply(*replacement, version.index);
+  CommandResult result = failure(applied.error, std::move(applied.reason));
   result.version = version;
   return result;
 }
 
-CommandResult ControlState::keepEvidence(const Command& command) {
+CommandResult ControlState::recordEvidence(const Command& command) {
   const auto batch = decode<evidence_batch>(command.evidence);
   if (!batch) {
     return failure(ErrorKind::kMalformedRequest, "not a batch of evidence");
@@ -203,11 +204,11 @@
     return reply;
   }
   if (claim.state == ClaimState::kHeld && claim.holder == command.holder) {
-    reply.granted = true;  // The same attempt asks again after a lost reply.
+    reply.granted = true;  // The same attempt repeats its claim after a lost reply.
     return reply;
   }
   const bool in_progress =
-      claim.state == ClaimState::kHeld && now_ms - claim.claimed_ms < kClaimHeldMs;
+      claim.state == ClaimState::kHeld && now_ms - claim.claimed_ms < kClaimTimeoutMs;
   reply.error = in_progress ? ErrorKind::kDuplicateInProgress : ErrorKind::kDuplicateUnknown;
   return reply;
 }
@@ -225,19 +226,19 @@
   claim.body = keep ? command.body : std::string();
 }
 
-void ControlState::abandon(const CallId& holder) {
+void ControlState::markAbandoned(const CallId& holder) {
   if (!abandoned_.insert(holder).second) {
     return;
   }
   abandoned_order_.push_back(holder);
-  while (abandoned_order_.size() > kRememberedAbandoned) {
+  while (abandoned_order_.size() > kMaximumAbandonedAttempts) {
     abandoned_.erase(abandoned_order_.front());
     abandoned_order_.pop_front();
   }
 }
 
 void ControlState::releaseClaim(const ClaimCommand& command) {
-  abandon(command.holder);
+  markAbandoned(command.holder);
   const auto found = claims_.find(command.key);
   const bool held = found != claims_.end() && found->second.holder == command.holder &&
                     found->second.state == ClaimState::kHeld;
@@ -247,7 +248,7 @@
 }
 
 void ControlState::expireClaims(std::int64_t now_ms) {
-  while (!claim_order_.empty() && now_ms - claim_order_.front().first > kClaimWindowMs) {
+  while (!claim_order_.empty() && now_ms - claim_order_.front().first > kClaimRetentionMs) {
     const auto found = claims_.find(claim_order_.front().second);
     if (found != claims_.end() && found->second.claimed_ms == claim_order_.front().first) {
       claims_.erase(found);
@@ -293,11 +294,11 @@
     claims_[claim.key] = claim;
     claim_order_.emplace_back(claim.claimed_ms, claim.key);
   }
-  for (const RememberedResult& remembered : snapshot.results) {
-    remember(remembered.operator_request_id, remembered.result);
+  for (const StoredResult& stored : snapshot.results) {
+    storeResult(stored.operator_request_id, stored.result);
   }
   for (const CallId& holder : snapshot.abandoned) {
-    abandon(holder);
+    markAbandoned(holder);
   }
   evidence_.restore(snapshot.evidence);
   const auto traffic = decode<TrafficSnapshot>(snapshot.traffic);
--- a/core/control/control_state.h
+++ b/core/control/control_state.h
@@ -1,6 +1,7 @@
 // The replicated state machine of the control group: configuration, plans and claims.
 //
-// Deterministic: a command carries the proposing leader's clock, and nothing else tells the time.
+// Deterministic, so that every member reaches the same state from the same log: the only time it
+// uses is the proposing leader's clock, which each command carries. Pure, not thread safe.
 #pragma once
 
 #include <cstdint>
@@ -30,14 +31,14 @@
   kRecordEvidence = 7,
 };
 
-/// The claim part of a command: who wants to run what, or how it went.
+/// One claim, completion or release in a command.
 struct ClaimCommand {
   std::string key;                      ///< Caller, service and Idempotency-Key; see claimKey().
-  std::uint64_t fingerprint = 0;        ///< Checksum of the request; one key, one request.
-  CallId holder;                        ///< The attempt that is to run it.
+  std::uint64_t fingerprint = 0;        ///< Checksum of the request; detects reuse of the key.
+  CallId holder;                        ///< The attempt that is to run the call.
   Outcome outcome = Outcome::kUnknown;  ///< kCompleteClaim: kRan or kUnknown.
   std::uint32_t status = 0;
-  std::string body;  ///< The kept answer, at most kMaximumStoredAnswerBytes.
+  std::string body;  ///< Answer to store, if at most kMaximumStoredAnswerBytes long.
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -52,12 +53,12 @@
 
 struct Command {
   CommandType type = CommandType::kPlan;
-  std::int64_t leader_clock_ms = 0;   ///< Wall clock of the proposing leader.
-  std::string operator_request_id;    ///< A resent command with one id gets the first result.
-  ConfigurationVersion base_version;  ///< kPlan: the version the operator saw.
+  std::int64_t leader_clock_ms = 0;   ///< Wall-clock time of the proposing leader.
+  std::string operator_request_id;    ///< A resent command with the same id gets the first result.
+  ConfigurationVersion base_version;  ///< kPlan: the version that the operator saw.
   std::vector<ConfigurationChange> changes;
   std::uint64_t plan_id = 0;
-  std::vector<ClaimCommand> claims;  ///< Claim commands are batched.
+  std::vector<ClaimCommand> claims;  ///< The batch of kClaim, kCompleteClaim or kReleaseClaim.
   std::string traffic;               ///< kReplaceTraffic: an encoded TrafficReplacement.
   std::string evidence;              ///< kRecordEvidence: an encoded evidence_batch.
 
@@ -78,7 +79,8 @@
 /// Answer to one claim of a batch.
 struct ClaimReply {
   bool granted = false;
-  /// kNone without a grant means the kept answer below stands; otherwise why it was denied.
+  /// If not granted: kNone if the call has run, with its stored answer below; otherwise why the
+  /// claim was denied.
   ErrorKind error = ErrorKind::kNone;
   std::uint32_t status = 0;
   std::string body;
@@ -96,7 +98,7 @@
   ErrorKind error = ErrorKind::kNone;
   std::string reason;
   std::uint64_t plan_id = 0;
-  ConfigurationVersion version;    ///< kConfirm: the version now in force.
+  ConfigurationVersion version;    ///< kConfirm: the version that is now in force.
   std::vector<std::string> lines;  ///< kPlan: what would change.
   std::vector<ClaimReply> claims;
 
@@ -155,7 +157,7 @@
   }
 };
 
-struct RememberedResult {
+struct StoredResult {
   std::string operator_request_id;
   CommandResult result;
 
@@ -166,14 +168,14 @@
   }
 };
 
-/// All of the state machine, as a snapshot holds it.
+/// The complete state of the state machine, as stored in a snapshot.
 struct ControlSnapshot {
   Configuration configuration;
   std::uint64_t next_plan_id = 1;
   std::vector<Plan> plans;
   std::vector<Claim> claims;
-  std::vector<RememberedResult> results;
-  std::vector<CallId> abandoned;  ///< Attempts that may not claim any more.
+  std::vector<StoredResult> results;
+  std::vector<CallId> abandoned;  ///< Attempts whose claims are denied.
   std::string traffic;            ///< An encoded TrafficSnapshot; empty if there is none.
   std::vector<dated_evidence> evidence;
 
@@ -190,17 +192,18 @@
   }
 };
 
-/// A key is remembered this long after its claim; a repeat later than this runs again.
-constexpr std::int64_t kClaimWindowMs = 24LL * 3600 * 1000;
-/// A claim still held after this (the longest deadline and a margin) has an unknown outcome.
-constexpr std::int64_t kClaimHeldMs = 90LL * 1000;
+/// A key is retained this long after its claim; a later repeat of the call runs again.
+constexpr std::int64_t kClaimRetentionMs = 24LL * 3600 * 1000;
+/// The outcome of a claim that is still held after this time counts as unknown. Longer than the
+/// longest deadline, with a margin.
+constexpr std::int64_t kClaimTimeoutMs = 90LL * 1000;
 constexpr std::size_t kMaximumStoredAnswerBytes = 16384;
-constexpr std::size_t kRememberedResults = 2048;
-constexpr std::size_t kRememberedPlans = 512;
-constexpr std::size_t kRememberedAbandoned = 8192;
+constexpr std::size_t kMaximumStoredResults = 2048;
+constexpr std::size_t kMaximumStoredPlans = 512;
+constexpr std::size_t kMaximumAbandonedAttempts = 8192;
 
-/// The key under which a commit-once call is claimed. It holds the caller, so that no caller is
-/// ever given another's kept answer.
+/// The key under which a commit-once call is claimed. It includes the caller, so that no caller
+/// gets an answer that was stored for another.
 std::string claimKey(const std::string& caller_key, const std::string& service,
                      const std::string& idempotency_key);
 
@@ -208,7 +211,7 @@
  public:
   explicit ControlState(std::uint64_t group_id = 0);
 
-  /// Applies one committed command. `version` is the entry's place in the log.
+  /// Applies a committed command. `version` is the term and index of its log entry.
   CommandResult apply(const Command& command, ConfigurationVersion version);
 
   [[nodiscard]] const Configuration& configuration() const { return configuration_; }
@@ -227,15 +230,15 @@
   CommandResult plan(const Command& command);
   CommandResult confirm(const Command& command, ConfigurationVersion version);
   CommandResult reject(const Command& command);
-  CommandResult keepEvidence(const Command& command);
+  CommandResult recordEvidence(const Command& command);
   CommandResult replaceTraffic(const Command& command, ConfigurationVersion version);
   ClaimReply claim(const ClaimCommand& command, std::int64_t now_ms);
   void completeClaim(const ClaimCommand& command);
   void releaseClaim(const ClaimCommand& command);
   void expireClaims(std::int64_t now_ms);
-  void remember(const std::string& operator_request_id, const CommandResult& result);
-  void abandon(const CallId& holder);
-  Plan* openPlan(std::uint64_t id, CommandResult& result);
+  void storeResult(const std::string& operator_request_id, const CommandResult& result);
+  void markAbandoned(const CallId& holder);
+  Plan* findOpenPlan(std::uint64_t id, CommandResult& result);
 
   Configuration configuration_;
   TrafficState traffic_;
@@ -243,10 +246,10 @@
   std::uint64_t next_plan_id_ = 1;
   std::deque<Plan> plans_;
   std::map<std::string, Claim> claims_;
-  std::deque<std::pair<std::int64_t, std::string>> claim_order_;  ///< By time, for expiry.
+  std::deque<std::pair<std::int64_t, std::string>> claim_order_;  ///< By time of claim.
   std::map<std::string, CommandResult> results_;
   std::deque<std::string> result_order_;
-  /// Attempts whose release arrived before their claim; the late claim must not be granted.
+  /// Attempts that released their claim. A claim of theirs that arrives late must not be granted.
   std::set<CallId> abandoned_;
   std::deque<CallId> abandoned_order_;
 };
--- a/core/control/server_registry.cc
+++ b/core/control/server_registry.cc
@@ -68,7 +68,7 @@
 void ServerRegistry::onSession(const DaemonSession& session, TimePoint now) {
   Session& present = sessions_[session.server];
   if (session.started_ms < present.session.started_ms) {
-    return;  // An incarnation that has been replaced, as another member remembers it.
+    return;  // Another member reported an incarnation that has been replaced since.
   }
   present.heard = now;
   const bool changed = present.session.incarnation != session.incarnation ||
@@ -110,7 +110,8 @@
       }
       return rendezvousWeight(daemon, left.name) > rendezvousWeight(daemon, right.name);
     };
-    // Half of the subset from the own zone, half from elsewhere, so that a zone can be lost.
+    // At most half of the subset is from the daemon's zone, so that the loss of a zone leaves
+    // servers.
     std::sort(result.servers.begin(), result.servers.end(), before);
     const auto locals = static_cast<std::size_t>(
         std::count_if(result.servers.begin(), result.servers.end(),
@@ -123,7 +124,8 @@
     }
   }
   const std::string bytes = encode(result);
-  result.digest = XXH3_64bits(bytes.data(), bytes.size()) | 1U;  // Zero means nothing is known.
+  result.digest =
+      XXH3_64bits(bytes.data(), bytes.size()) | 1U;  // Never 0, which stands for no list.
   return result;
 }
 
--- a/core/errors.h
+++ b/core/errors.h
@@ -1,4 +1,6 @@
-// The closed list of error kinds and the one table from a kind to what a caller is told.
+// Error kinds and the table that maps each kind to the answer that a caller gets.
+//
+// The list of kinds is closed: every error that ramppond itself reports is one of them.
 #pragma once
 
 #include <cstdint>
@@ -6,14 +8,14 @@
 
 namespace ramppond {
 
-/// What is known about whether a call reached its back end.
+/// What is known about whether a back end ran a call.
 enum class Outcome : std::uint8_t {
-  kNotRun = 0,   ///< Provably never handed to a back end.
-  kRan = 1,      ///< A back end ran it and its complete answer is at hand.
+  kNotRun = 0,   ///< Certainly never sent to a back end.
+  kRan = 1,      ///< A back end ran it and returned a complete answer.
   kUnknown = 2,  ///< It may or may not have run.
 };
 
-/// Every reason for which ramppond itself answers a call or an operator.
+/// Every error with which ramppond itself answers a call or an operator's request.
 enum class ErrorKind : std::uint8_t {
   kNone = 0,
   kMalformedRequest,
@@ -43,17 +45,17 @@
   kCount,
 };
 
-/// One row of the table: how an error kind is told to a caller.
+/// One row of the table: how an error kind is reported to a caller.
 struct ErrorAnswer {
   ErrorKind kind;
   std::string_view name;
   int http_status;
-  Outcome outcome;       ///< The outcome unless the call had already been dispatched.
+  Outcome outcome;       ///< Outcome to report if the call was not dispatched before the error.
   bool retry_after;      ///< Whether the answer carries Retry-After (RFC 9110, 10.2.3).
   bool retry_elsewhere;  ///< Whether another server may be tried within the retry allowance.
 };
 
-/// The row for `kind`. Total over the enumeration.
+/// Returns the row for `kind`. Every enumerator but kCount has one.
 const ErrorAnswer& errorAnswer(ErrorKind kind);
 
 std::string_view outcomeName(Outcome outcome);
--- a/tests/core/cbor_codec_test.cc
+++ b/tests/core/cbor_codec_test.cc
@@ -38,7 +38,7 @@
   return message;
 }
 
-// Whatever the bytes are, a decoder gives a message or nothing.
+// Decodes `bytes` as every message type. No input may crash a decoder.
 void decodeAll(const std::string& bytes) {
   static_cast<void>(decode<CallRequest>(bytes));
   static_cast<void>(decode<CallAnswer>(bytes));
@@ -62,7 +62,7 @@
   }));
 }
 
-TEST(CborCodec, RoundTripKeepsEntries) {
+TEST(CborCodec, RoundTripKeepsLogEntries) {
   EXPECT_TRUE(rc::check([] {
     const RaftMessage message = anyRaftMessage();
     const auto decoded = decode<RaftMessage>(encode(message));
@@ -71,7 +71,7 @@
   }));
 }
 
-TEST(CborCodec, EveryPrefixIsRefused) {
+TEST(CborCodec, TruncatedMessageIsRefused) {
   EXPECT_TRUE(rc::check([] {
     const std::string bytes = encode(anyCall());
     const auto length = *rc::gen::inRange<std::size_t>(0, bytes.size());
@@ -102,7 +102,7 @@
 }
 
 TEST(CborCodec, HugeLengthsAreRefusedWithoutAllocating) {
-  // An array, a string and a map that claim 2^60 elements.
+  // An array, a byte string and a map with a declared length of 2^60.
   for (const unsigned char head : {0x9B, 0x5B, 0xBB}) {
     std::string bytes(1, static_cast<char>(head));
     bytes += std::string("\x10\x00\x00\x00\x00\x00\x00\x00", 8);
--- a/tests/core/consensus/member_replacement_test.cc
+++ b/tests/core/consensus/member_replacement_test.cc
@@ -15,7 +15,7 @@
   return {id, address, address, false};
 }
 
-TEST(FirstMembers, EveryMemberComesToTheSameGroup) {
+TEST(InitialMembership, SameAddressesInAnyOrderGiveSameGroup) {
   const Membership one = initialMembership({"10.0.0.2:1", "10.0.0.1:1"});
   const Membership other = initialMembership({"10.0.0.1:1", "10.0.0.2:1", "10.0.0.1:1"});
   EXPECT_EQ(initialGroupId(one), initialGroupId(other));
@@ -23,15 +23,15 @@
   EXPECT_NE(one.find(initialNodeId("10.0.0.1:1")), nullptr);
 }
 
-TEST(MemberReplacement, NothingChangesWithoutAReason) {
+TEST(MemberReplacement, NoJoinerAndNoRemovableVoterProposesNoChange) {
   EXPECT_FALSE(nextMembership(group(), {}, {}));
   const NodeId known = initialNodeId("10.0.0.1:1");
   EXPECT_FALSE(nextMembership(group(), {joiner(known, "10.0.0.1:1")}, {}));
-  // Three voters are kept, however long one is silent.
+  // With only kMinimumVoters voters none is removed, however long it is silent.
   EXPECT_FALSE(nextMembership(group(), {}, {{known, seconds(100)}}));
 }
 
-TEST(MemberReplacement, AWipedMemberFirstLosesItsFormerIdentity) {
+TEST(MemberReplacement, JoinerAtKnownAddressRemovesOldIdBeforeAdding) {
   const auto without = nextMembership(group(), {joiner(77, "10.0.0.3:1")}, {});
   ASSERT_TRUE(without);
   EXPECT_EQ(without->voterCount(), 2U);
@@ -43,14 +43,14 @@
   EXPECT_EQ(with->voterCount(), 2U);
 }
 
-TEST(MemberReplacement, ASilentVoterGivesWayOnlyToAVoterThatStands) {
+TEST(MemberReplacement, SilentVoterIsRemovedOnlyWithFourVotersAndAfterTimeout) {
   const NodeId silent = initialNodeId("10.0.0.1:1");
   Membership four = group();
   four.members.push_back(joiner(88, "10.0.0.4:1"));
   EXPECT_FALSE(nextMembership(four, {}, {{silent, seconds(100)}}));
   four.members.back().voter = true;
-  EXPECT_FALSE(nextMembership(four, {}, {{silent, kSilentVoterRemoved - Duration(1)}}));
-  const auto next = nextMembership(four, {}, {{silent, kSilentVoterRemoved}, {88, Duration(0)}});
+  EXPECT_FALSE(nextMembership(four, {}, {{silent, kSilentVoterTimeout - Duration(1)}}));
+  const auto next = nextMembership(four, {}, {{silent, kSilentVoterTimeout}, {88, Duration(0)}});
   ASSERT_TRUE(next);
   EXPECT_EQ(next->find(silent), nullptr);
   EXPECT_EQ(next->voterCount(), 3U);
--- a/tests/core/consensus/raft_test.cc
+++ b/tests/core/consensus/raft_test.cc
@@ -10,9 +10,9 @@
 
 constexpr std::uint64_t kGroup = 77;
 constexpr Duration kStep = milliseconds(10);
-constexpr std::uint64_t kMostStepsApart = 20;
+constexpr std::uint64_t kMaximumStepsBetweenStarts = 20;
 
-// What a member keeps through a crash, as the driver persists it.
+// A member's disk: the state that the driver persists and that survives a crash.
 struct Disk {
   RaftRecovery recovery;
 
@@ -33,7 +33,8 @@
   }
 };
 
-// A group in virtual time whose network loses, copies and reorders, and whose members crash.
+// A group in virtual time whose network loses, duplicates and reorders messages and whose members
+// may crash.
 class Cluster {
  public:
   Cluster(std::size_t size, std::uint64_t seed) : random_(seed) {
@@ -86,21 +87,21 @@
       for (Node& node : nodes_) {
         if (node.raft != nullptr) {
           node.raft->tick(now_);
-          work(node);
+          processReady(node);
         }
       }
     }
   }
 
-  /// All lose power and start anew, each at a time of its own; gives how long after the last start
-  /// there is a leader.
+  /// Stops all members, then restarts them one after the other at random intervals. Returns the
+  /// time from the last start until there is a leader.
   Duration restartAll() {
     for (Node& node : nodes_) {
       node.raft.reset();
     }
     network_.clear();
     for (Node& node : nodes_) {
-      run(static_cast<int>(random_.below(kMostStepsApart)));
+      run(static_cast<int>(random_.below(kMaximumStepsBetweenStarts)));
       restart(node.id);
     }
     const TimePoint last_start = now_;
@@ -117,11 +118,11 @@
       start(at(id));
     }
   }
-  /// The disk is lost: whoever comes back has another identity.
-  void wipe(NodeId id, NodeId fresh) {
+  /// Restarts a member with an empty disk and therefore under a new id.
+  void wipe(NodeId id, NodeId new_id) {
     Node& node = at(id);
     node.raft.reset();
-    node.id = fresh;
+    node.id = new_id;
     node.disk = Disk{};
     node.applied.clear();
     start(node);
@@ -142,8 +143,8 @@
     }
   }
 
-  double loss = 0;
-  double copies = 0;
+  double loss_probability = 0;
+  double duplication_probability = 0;
   std::optional<Duration> initial_election_timeout;
 
  private:
@@ -167,7 +168,7 @@
     node.raft = std::make_unique<RaftNode>(options, node.disk.recovery, now_);
   }
 
-  void work(Node& node) {
+  void processReady(Node& node) {
     for (RaftReady ready = node.raft->ready(); !ready.empty(); ready = node.raft->ready()) {
       node.disk.persist(ready);
       for (RaftMessage& message : ready.messages) {
@@ -196,12 +197,12 @@
       const auto target = std::find_if(nodes_.begin(), nodes_.end(), [&](const Node& node) {
         return node.id == message.to && node.raft != nullptr;
       });
-      if (target == nodes_.end() || random_.chance(loss)) {
+      if (target == nodes_.end() || random_.chance(loss_probability)) {
         continue;
       }
       target->raft->step(message, now_);
-      work(*target);
-      if (random_.chance(copies)) {
+      processReady(*target);
+      if (random_.chance(duplication_probability)) {
         network_.push_back(message);
       }
     }
@@ -215,18 +216,18 @@
   std::map<Term, std::set<NodeId>> leaders_by_term_;
 };
 
-TEST(Raft, ABootstrappedGroupGrowsByLearners) {
+TEST(Raft, LearnersAddedAfterBootstrapBecomeVoters) {
   Cluster cluster(3, 1);
   ASSERT_NE(cluster.leader(), nullptr);
   EXPECT_EQ(cluster.leader()->membership().voterCount(), 3U);
 }
 
-TEST(Raft, BootstrapIsRefusedOnAUsedDisk) {
+TEST(Raft, BootstrapOnUsedDiskIsRefused) {
   Cluster cluster(1, 1);
   EXPECT_FALSE(cluster.raft(1).bootstrap(5, Cluster::member(1, true), seconds(9)));
 }
 
-TEST(Raft, ACommandIsAppliedEverywhere) {
+TEST(Raft, ProposedCommandIsAppliedOnEveryMember) {
   Cluster cluster(3, 2);
   ASSERT_TRUE(cluster.leader()->propose("x"));
   cluster.run(30);
@@ -235,7 +236,7 @@
   }
 }
 
-TEST(Raft, WithoutAQuorumNothingIsCommittedAndTheLeaderStepsDown) {
+TEST(Raft, LeaderWithoutQuorumCommitsNothingAndStepsDown) {
   Cluster cluster(3, 3);
   RaftNode* leader = cluster.leader();
   const NodeId leader_id = leader->id();
@@ -251,7 +252,7 @@
   EXPECT_NE(cluster.raft(leader_id).role(), RaftRole::kLeader);
 }
 
-TEST(Raft, APreVoteOfACutOffMemberDoesNotRaiseTheTerm) {
+TEST(Raft, PreVoteOfRestartedMemberDoesNotRaiseTerm) {
   Cluster cluster(3, 4);
   const Term before = cluster.leader()->term();
   const NodeId follower = cluster.leader()->id() == 1 ? 2 : 1;
@@ -262,7 +263,7 @@
   EXPECT_EQ(cluster.leader()->term(), before);
 }
 
-TEST(Raft, ALinearizableReadWaitsForAQuorum) {
+TEST(Raft, LinearizableReadWithoutQuorumIsNotServed) {
   Cluster cluster(3, 5);
   RaftNode* leader = cluster.leader();
   const NodeId leader_id = leader->id();
@@ -275,13 +276,13 @@
   EXPECT_TRUE(leader->ready().reads_ready.empty());
 }
 
-TEST(Raft, AWipedMemberNeitherVotesNorCountsUntilItIsAddedAnew) {
+TEST(Raft, WipedMemberDoesNotCountTowardsQuorumUntilAdded) {
   Cluster cluster(3, 6);
   const NodeId leader_id = cluster.leader()->id();
   const NodeId wiped = leader_id == 1 ? 2 : 1;
   const NodeId other = 6 - leader_id - wiped;
-  constexpr NodeId kFresh = 40;
-  cluster.wipe(wiped, kFresh);
+  constexpr NodeId kNewId = 40;
+  cluster.wipe(wiped, kNewId);
   cluster.crash(other);
   cluster.run(20);
   const LogIndex before = cluster.raft(leader_id).commitIndex();
@@ -297,11 +298,11 @@
                         without.members.end());
   ASSERT_TRUE(cluster.leader()->proposeMembership(without));
   cluster.run(50);
-  cluster.add(kFresh);
-  EXPECT_TRUE(cluster.leader()->membership().isVoter(kFresh));
+  cluster.add(kNewId);
+  EXPECT_TRUE(cluster.leader()->membership().isVoter(kNewId));
 }
 
-TEST(Raft, ASlowMemberIsCaughtUpBySnapshot) {
+TEST(Raft, LaggingMemberCatchesUpBySnapshot) {
   Cluster cluster(3, 7);
   const NodeId leader_id = cluster.leader()->id();
   const NodeId slow = leader_id == 1 ? 2 : 1;
@@ -322,8 +323,8 @@
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
     const auto size = *rc::gen::inRange<std::size_t>(3, 6);
     Cluster cluster(size, seed);
-    cluster.loss = 0.01 * *rc::gen::inRange(0, 20);
-    cluster.copies = 0.01 * *rc::gen::inRange(0, 10);
+    cluster.loss_probability = 0.01 * *rc::gen::inRange(0, 20);
+    cluster.duplication_probability = 0.01 * *rc::gen::inRange(0, 10);
     Random random(seed);
     for (int round = 0; round < 40; ++round) {
       const NodeId id = random.below(size) + 1;
@@ -336,8 +337,8 @@
       cluster.run(static_cast<int>(random.below(30)));
       cluster.checkSafety();
     }
-    // Once everybody is back, the group moves on.
-    cluster.loss = 0;
+    // Once all members are up and the network is reliable, the group makes progress.
+    cluster.loss_probability = 0;
     for (NodeId id = 1; id <= size; ++id) {
       cluster.restart(id);
     }
@@ -351,9 +352,9 @@
   }));
 }
 
-// Members that lost power together come back one after the other: the first pre-vote finds no
+// After a power failure members come back one after the other, so that the first pre-votes find no
 // quorum.
-TEST(RaftStart, APreVoteIsRepeatedSoonUntilThereIsALeader) {
+TEST(RaftStart, PreVoteIsRetriedWithinInitialTimeoutUntilLeaderIsKnown) {
   RaftOptions options;
   options.id = 1;
   options.election_timeout = milliseconds(500);
@@ -381,11 +382,11 @@
   EXPECT_GE(rounds, 3);
 }
 
-class FirstElectionTest : public testing::TestWithParam<std::size_t> {};
+class InitialElectionTest : public testing::TestWithParam<std::size_t> {};
 
-// Found on the bench: six members that started within 0.4 s split the votes of their first
-// election, and the next one came 0.6 s later.
-TEST_P(FirstElectionTest, ASplitVoteIsRepeatedSoon) {
+// Guards against a slow retry after a split vote: six members that started within 0.4 s split the
+// votes of their first election, and the next election began only 0.6 s later.
+TEST_P(InitialElectionTest, SplitVoteIsRetriedSoon) {
   Duration longest{0};
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     Cluster cluster(GetParam(), seed);
@@ -395,7 +396,7 @@
   EXPECT_LE(longest.count(), Duration(milliseconds(400)).count());
 }
 
-INSTANTIATE_TEST_SUITE_P(Members, FirstElectionTest, testing::Values(3U, 5U, 6U, 9U));
+INSTANTIATE_TEST_SUITE_P(Members, InitialElectionTest, testing::Values(3U, 5U, 6U, 9U));
 
 }  // namespace
 }  // namespace ramppond
--- a/tests/core/consensus/snapshot_policy_test.cc
+++ b/tests/core/consensus/snapshot_policy_test.cc
@@ -19,14 +19,14 @@
   bool due;
 };
 
-// Keeps the name of a test the same in every run.
+// Without it GoogleTest prints the parameter's bytes, which differ from run to run.
 void PrintTo(const policy_case& tested, std::ostream* out) {
   *out << tested.name;
 }
 
 class snapshot_policy_test : public testing::TestWithParam<policy_case> {};
 
-TEST_P(snapshot_policy_test, bounds_the_log) {
+TEST_P(snapshot_policy_test, is_due_once_a_limit_is_reached) {
   const auto& tested = GetParam();
   auto policy = snapshot_policy(tested.limits);
   policy.on_snapshot({tested.snapshot_bytes});
--- a/tests/core/control/control_group.cc
+++ b/tests/core/control/control_group.cc
@@ -5,7 +5,7 @@
 namespace ramppond {
 namespace {
 
-constexpr std::size_t kAddressDigit = 5;  // of "10.0.MEMBER.1:1"
+constexpr std::size_t kAddressDigit = 5;  // Position of MEMBER in "10.0.MEMBER.1:1".
 
 }  // namespace
 
@@ -18,7 +18,7 @@
 }
 
 ControlGroup::ControlGroup(const GroupOptions& options)
-    : step_(options.step), cut_off_(options.members) {
+    : step_(options.step), isolated_(options.members) {
   Membership membership;
   for (std::size_t member = 0; member < options.first; ++member) {
     membership.members.push_back(
@@ -47,24 +47,24 @@
 
 void ControlGroup::step() {
   now_ += step_;
-  joinThoseOutside();
+  sendMissingJoinRequests();
   for (std::size_t member = 0; member < cores_.size(); ++member) {
     cores_[member]->tick(now_, 0);
     work(member);
   }
 }
 
-void ControlGroup::joinThoseOutside() {
+void ControlGroup::sendMissingJoinRequests() {
   const std::size_t leading = leader();
   for (std::size_t member = 0; member < cores_.size(); ++member) {
     const RaftNode& raft = cores_[member]->raft();
-    if (raft.membership().find(raft.id()) != nullptr || !reach(member, leading)) {
+    if (raft.membership().find(raft.id()) != nullptr || !canReach(member, leading)) {
       continue;
     }
     ControlRequest join;
     join.type = ControlRequestType::kJoin;
     join.member = {raft.id(), "m" + std::to_string(member), addressOf(member), false};
-    asked_[next_token_] = {member, 0};
+    pending_requests_[next_token_] = {member, 0};
     cores_[leading]->onRequest(next_token_, join, now_);
     next_token_ += 1;
   }
@@ -104,7 +104,7 @@
        work = cores_[member]->take(now_)) {
     for (const RaftMessage& message : work.raft.messages) {
       const std::size_t to = message.to - 1;
-      if (reach(member, to)) {
+      if (canReach(member, to)) {
         cores_.at(to)->onRaftMessage(message, addressOf(member), now_);
       }
     }
@@ -120,25 +120,25 @@
 
 void ControlGroup::ask(std::size_t from, const MemberRequest& request) {
   const std::size_t to = memberAt(request.address);
-  if (!reach(from, to)) {
+  if (!canReach(from, to)) {
     return;
   }
   const ControlToken token = next_token_++;
-  asked_[token] = {from, request.request_id};
+  pending_requests_[token] = {from, request.request_id};
   cores_.at(to)->onRequest(token, request.request, now_);
 }
 
 void ControlGroup::deliver(std::size_t from, const ControlAnswer& answer) {
-  const auto asked = asked_.find(answer.token);
-  if (asked == asked_.end()) {
+  const auto pending = pending_requests_.find(answer.token);
+  if (pending == pending_requests_.end()) {
     answers_[answer.token] = answer.reply;
     return;
   }
-  if (reach(from, asked->second.member)) {
+  if (canReach(from, pending->second.member)) {
     member_bytes_ += encode(answer.reply).size();
-    cores_[asked->second.member]->onMemberReply(asked->second.request_id, answer.reply, now_);
+    cores_[pending->second.member]->onMemberReply(pending->second.request_id, answer.reply, now_);
   }
-  asked_.erase(asked);
+  pending_requests_.erase(pending);
 }
 
 }  // namespace ramppond
--- a/tests/core/control/control_proof_test.cc
+++ b/tests/core/control/control_read_index_test.cc
@@ -1,5 +1,5 @@
-// Answers to daemons that a quorum confirmed: given by followers too, never by a member that cannot
-// know.
+// Guards against answers to daemons that claim a quorum's confirmation without having it: the
+// leader and its followers give confirmed answers, a partitioned member never does.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -10,8 +10,8 @@
 namespace ramppond {
 namespace {
 
-/// A group, and one daemon that wants proof.
-class ProvingGroup : public ControlGroup {
+/// A group polled by one daemon that requests a quorum's confirmation.
+class PollingGroup : public ControlGroup {
  public:
   void poll(std::size_t member) {
     ProxyPoll poll;
@@ -19,12 +19,12 @@
     poll.registry_epoch = member + 1;
     poll.wants_proof = true;
     poll.hold = milliseconds(500);
-    ControlRequest asked;
-    asked.type = ControlRequestType::kProxyPoll;
-    asked.proxy_poll = encode(poll);
-    token_ = request(member, asked);
+    ControlRequest poll_request;
+    poll_request.type = ControlRequestType::kProxyPoll;
+    poll_request.proxy_poll = encode(poll);
+    token_ = request(member, poll_request);
   }
-  /// The answer to the last poll, if it came.
+  /// The answer to the last poll; std::nullopt if there is none yet.
   std::optional<ControlReply> answer() {
     const auto answers = takeAnswers();
     const auto found = answers.find(token_);
@@ -35,8 +35,8 @@
   ControlToken token_ = 0;
 };
 
-TEST(ControlProof, LeaderAndFollowersVouchForWhatTheyAnswer) {
-  ProvingGroup group;
+TEST(ControlReadIndex, LeaderAndFollowerAnswersAreConfirmedByQuorum) {
+  PollingGroup group;
   for (std::size_t member = 0; member < group.size(); ++member) {
     group.poll(member);
     group.run(milliseconds(700));
@@ -47,22 +47,23 @@
   }
 }
 
-// It still believes that it leads: the question comes within the election timeout.
-TEST(ControlProof, ALeaderThatIsCutOffVouchesForNothing) {
-  ProvingGroup group;
-  const std::size_t deposed = group.leader();
-  group.cutOff(deposed);
-  group.poll(deposed);
+// The poll arrives within the election timeout, so that the partitioned member still takes itself
+// for the leader.
+TEST(ControlReadIndex, PartitionedLeaderAnswerIsNotConfirmed) {
+  PollingGroup group;
+  const std::size_t isolated_leader = group.leader();
+  group.isolate(isolated_leader);
+  group.poll(isolated_leader);
   group.run(seconds(3));
   const auto answer = group.answer();
   ASSERT_TRUE(answer);
   EXPECT_FALSE(answer->quorum_confirmed);
 }
 
-TEST(ControlProof, AFollowerThatIsCutOffVouchesForNothing) {
-  ProvingGroup group;
+TEST(ControlReadIndex, PartitionedFollowerAnswerIsNotConfirmed) {
+  PollingGroup group;
   const std::size_t follower = (group.leader() + 1) % group.size();
-  group.cutOff(follower);
+  group.isolate(follower);
   group.poll(follower);
   group.run(seconds(3));
   const auto answer = group.answer();
--- a/tests/core/control/control_state_test.cc
+++ b/tests/core/control/control_state_test.cc
@@ -23,7 +23,7 @@
   return command;
 }
 
-Command planEnd(CommandType type, const std::string& request_id, std::uint64_t plan_id) {
+Command planDecision(CommandType type, const std::string& request_id, std::uint64_t plan_id) {
   Command command;
   command.type = type;
   command.operator_request_id = request_id;
@@ -58,21 +58,21 @@
   std::uint64_t index_ = 0;
 };
 
-TEST_F(ControlStateTest, NothingTakesEffectBeforeItIsConfirmed) {
+TEST_F(ControlStateTest, PlanTakesEffectOnlyOnConfirm) {
   const auto planned = apply(planCommand("p1", {}, 7));
   ASSERT_EQ(planned.error, ErrorKind::kNone);
   EXPECT_EQ(state_.configuration().retry_allowance, kDefaultRetryAllowance);
-  const auto confirmed = apply(planEnd(CommandType::kConfirm, "c1", planned.plan_id));
+  const auto confirmed = apply(planDecision(CommandType::kConfirm, "c1", planned.plan_id));
   ASSERT_EQ(confirmed.error, ErrorKind::kNone);
   EXPECT_EQ(state_.configuration().retry_allowance, 7U);
   EXPECT_EQ(state_.configuration().version, confirmed.version);
 }
 
-TEST_F(ControlStateTest, OfTwoPlansOnOneVersionOneWins) {
+TEST_F(ControlStateTest, SecondPlanOnSameBaseVersionIsRefusedOnConfirm) {
   const auto first = apply(planCommand("p1", {}, 7));
   const auto second = apply(planCommand("p2", {}, 8));
-  const auto winner = apply(planEnd(CommandType::kConfirm, "c2", second.plan_id));
-  const auto loser = apply(planEnd(CommandType::kConfirm, "c1", first.plan_id));
+  const auto winner = apply(planDecision(CommandType::kConfirm, "c2", second.plan_id));
+  const auto loser = apply(planDecision(CommandType::kConfirm, "c1", first.plan_id));
   EXPECT_EQ(winner.error, ErrorKind::kNone);
   EXPECT_EQ(loser.error, ErrorKind::kVersionConflict);
   EXPECT_NE(loser.reason.find("0.0"), std::string::npos) << loser.reason;
@@ -80,31 +80,32 @@
   EXPECT_EQ(state_.configuration().retry_allowance, 8U);
 }
 
-TEST_F(ControlStateTest, AResentCommandGetsTheFirstAnswer) {
+TEST_F(ControlStateTest, ResentCommandGetsFirstResult) {
   const auto planned = apply(planCommand("p1", {}, 7));
   EXPECT_EQ(apply(planCommand("p1", {}, 7)).plan_id, planned.plan_id);
-  const auto confirmed = apply(planEnd(CommandType::kConfirm, "c1", planned.plan_id));
-  const auto resent = apply(planEnd(CommandType::kConfirm, "c1", planned.plan_id));
+  const auto confirmed = apply(planDecision(CommandType::kConfirm, "c1", planned.plan_id));
+  const auto resent = apply(planDecision(CommandType::kConfirm, "c1", planned.plan_id));
   EXPECT_EQ(resent.error, ErrorKind::kNone);
   EXPECT_EQ(resent.version, confirmed.version);
 }
 
-TEST_F(ControlStateTest, ARejectedPlanCannotBeConfirmed) {
+TEST_F(ControlStateTest, ConfirmOfRejectedPlanIsRefused) {
   const auto planned = apply(planCommand("p1", {}, 7));
-  EXPECT_EQ(apply(planEnd(CommandType::kReject, "r1", planned.plan_id)).error, ErrorKind::kNone);
-  EXPECT_EQ(apply(planEnd(CommandType::kConfirm, "c1", planned.plan_id)).error,
+  EXPECT_EQ(apply(planDecision(CommandType::kReject, "r1", planned.plan_id)).error,
+            ErrorKind::kNone);
+  EXPECT_EQ(apply(planDecision(CommandType::kConfirm, "c1", planned.plan_id)).error,
             ErrorKind::kPlanClosed);
 }
 
-TEST_F(ControlStateTest, TheFirstClaimWinsAndTheRestWait) {
+TEST_F(ControlStateTest, ClaimOfHeldKeyIsGrantedOnlyToItsHolder) {
   EXPECT_TRUE(claim("k", {1, 1}).granted);
-  EXPECT_TRUE(claim("k", {1, 1}).granted) << "the same attempt asks again after a lost reply";
+  EXPECT_TRUE(claim("k", {1, 1}).granted) << "the holder repeats its claim after a lost reply";
   const ClaimReply other = claim("k", {2, 1});
   EXPECT_FALSE(other.granted);
   EXPECT_EQ(other.error, ErrorKind::kDuplicateInProgress);
 }
 
-TEST_F(ControlStateTest, ARepeatGetsTheKeptAnswer) {
+TEST_F(ControlStateTest, ClaimOfCompletedKeyGetsStoredAnswer) {
   claim("k", {1, 1});
   apply(claimCommand(CommandType::kCompleteClaim, "k", {1, 1}));
   const ClaimReply repeat = claim("k", {2, 1});
@@ -114,35 +115,35 @@
   EXPECT_EQ(repeat.body, "kept");
 }
 
-TEST_F(ControlStateTest, AHolderThatDiedLeavesAnUnknownOutcomeForGood) {
+TEST_F(ControlStateTest, ClaimAfterHolderTimeoutIsDeniedAsUnknown) {
   claim("k", {1, 1}, 1000);
-  const ClaimReply later = claim("k", {2, 1}, 1000 + kClaimHeldMs);
+  const ClaimReply later = claim("k", {2, 1}, 1000 + kClaimTimeoutMs);
   EXPECT_FALSE(later.granted);
   EXPECT_EQ(later.error, ErrorKind::kDuplicateUnknown);
 }
 
-TEST_F(ControlStateTest, AReleasedKeyMayBeClaimedByTheNextAttemptOnly) {
+TEST_F(ControlStateTest, ReleasedKeyIsGrantedOnlyToAnotherAttempt) {
   claim("k", {1, 1});
   apply(claimCommand(CommandType::kReleaseClaim, "k", {1, 1}));
-  EXPECT_FALSE(claim("k", {1, 1}).granted) << "a late claim of the attempt that gave up";
+  EXPECT_FALSE(claim("k", {1, 1}).granted) << "late claim of the attempt that released the key";
   EXPECT_TRUE(claim("k", {1, 2}).granted);
 }
 
-TEST_F(ControlStateTest, AClaimThatArrivesAfterItsReleaseIsDenied) {
+TEST_F(ControlStateTest, ClaimAfterItsReleaseIsDenied) {
   apply(claimCommand(CommandType::kReleaseClaim, "k", {1, 1}));
   EXPECT_FALSE(claim("k", {1, 1}).granted);
 }
 
-TEST_F(ControlStateTest, OneKeyStandsForOneRequest) {
+TEST_F(ControlStateTest, ClaimWithOtherFingerprintIsDenied) {
   claim("k", {1, 1});
   Command other = claimCommand(CommandType::kClaim, "k", {2, 1});
   other.claims[0].fingerprint = 6;
   EXPECT_EQ(apply(other).claims.at(0).error, ErrorKind::kKeyReused);
 }
 
-TEST_F(ControlStateTest, ClaimsExpireAfterTheWindow) {
+TEST_F(ControlStateTest, ClaimsExpireAfterRetention) {
   claim("k", {1, 1}, 0);
-  claim("other", {1, 2}, kClaimWindowMs + 1);
+  claim("other", {1, 2}, kClaimRetentionMs + 1);
   EXPECT_EQ(state_.claimCount(), 1U);
 }
 
@@ -156,9 +157,9 @@
     case 0:
       return planCommand("p" + std::to_string(step), {}, 3);
     case 1:
-      return planEnd(CommandType::kConfirm, "c" + std::to_string(step), number);
+      return planDecision(CommandType::kConfirm, "c" + std::to_string(step), number);
     case 2:
-      return planEnd(CommandType::kReject, "r" + std::to_string(step), number);
+      return planDecision(CommandType::kReject, "r" + std::to_string(step), number);
     case 3:
       return claimCommand(CommandType::kCompleteClaim, key, holder, clock);
     case 4:
@@ -168,7 +169,7 @@
   }
 }
 
-TEST(ControlStateProperties, ASnapshotContinuesAsTheOriginal) {
+TEST(ControlStateProperties, RestoredSnapshotAppliesCommandsLikeOriginal) {
   EXPECT_TRUE(rc::check([] {
     const auto steps = *rc::gen::inRange<std::size_t>(1, 40);
     const auto cut = *rc::gen::inRange<std::size_t>(0, steps);
@@ -191,10 +192,10 @@
   }));
 }
 
-TEST(ControlStateProperties, AKeyIsNeverGrantedToTwoAttemptsThatMayHaveRun) {
+TEST(ControlStateProperties, KeyIsNeverGrantedToTwoAttemptsThatMayHaveRun) {
   EXPECT_TRUE(rc::check([] {
     ControlState state(kGroup);
-    // Attempts that hold a grant and have not given it back.
+    // Attempts that were granted the key and have not released it.
     std::map<std::string, std::set<CallId>> running;
     const auto steps = *rc::gen::inRange<std::size_t>(1, 60);
     for (std::size_t step = 0; step < steps; ++step) {
