--- a/core/control/control_quotas.cc
+++ b/core/control/control_quotas.cc
@@ -1,10 +1,10 @@
-// Reports of daemons on the requests of tenants, taken by the leader.
+// ControlCore: daemons' reports of tenants' requests, collected and answered by the leader.
 #include "core/cbor_codec.h"
 #include "core/control/control_core.h"
 
 namespace ramppond {
 
-void ControlCore::followLimits(TimePoint now) {
+void ControlCore::updateQuotaLimits(TimePoint now) {
   if (quota_limits_index_ != state_.traffic().logIndex()) {
     quota_limits_index_ = state_.traffic().logIndex();
     quotas_.set_limits(state_.traffic().configuration().tenants, now);
@@ -14,14 +14,14 @@
 void ControlCore::onQuotaReport(ControlToken token, const ControlRequest& request, TimePoint now) {
   const auto report = decode<quota_report>(request.quota_report);
   if (!report) {
-    answerError(token, ErrorKind::kMalformedRequest, "not a report");
+    answerError(token, ErrorKind::kMalformedRequest, "malformed quota report");
     return;
   }
   if (raft_.role() != RaftRole::kLeader) {
     answerError(token, ErrorKind::kNotLeader, "this member does not lead");
     return;
   }
-  followLimits(now);
+  updateQuotaLimits(now);
   quotas_.on_report(*report, now);
   const auto latest = quotas_.answer(now);
   if (!latest) {
