--- a/tests/compatibility/forwarding_surface_test.cc
+++ b/tests/compatibility/forwarding_surface_test.cc
@@ -10,9 +10,9 @@
 #include <sstream>
 
 #include "tests/compatibility/golden.h"
-#include "tests/platform/forwarding_day.h"
+#include "tests/platform/forwarding_fixture.h"
 
-namespace ramppond::stand_in {
+namespace ramppond::fake_platform {
 namespace {
 
 using namespace std::string_literals;
@@ -31,10 +31,11 @@
   return std::regex_replace(answer, std::regex("\n"), "\\n");
 }
 
-class OwnAnswers : public ForwardingDay {
+class OwnAnswers : public ForwardingTest {
  protected:
   std::string ask(const std::string& bytes) {
-    return normalized(day_.sendRaw(day_.serverHost(0), day_.ports.clients, bytes));
+    return normalized(
+        deployment_.sendRaw(deployment_.serverHost(0), deployment_.ports.clients, bytes));
   }
   std::string get(const std::string& target, const std::string& fields = "") {
     return ask("GET " + target + kHead + fields + "\r\n");
@@ -51,12 +52,12 @@
       ask("POST /two/x"s + kHead + "Content-Length: " + std::to_string(kTooManyBytes) + "\r\n\r\n");
   answers["deadline_before_it_was_sent"] = get("/one/x", "Deadline-Ms: 0\r\n");
   answers["without_request_id"] = ask("GET /nowhere/ HTTP/1.1\r\nHost: app.example\r\n\r\n");
-  for (const auto& server : day_.servers) {
+  for (const auto& server : deployment_.servers) {
     server->crashes_on = "crash";
     server->time_to_restart = seconds(20);
   }
   answers["lost_with_its_server"] = post("/two/crash");
-  for (const auto& server : day_.servers) {
+  for (const auto& server : deployment_.servers) {
     server->work = seconds(2);
   }
   answers["deadline_while_it_ran"] = get("/one/x", "Deadline-Ms: 300\r\n");
@@ -64,10 +65,11 @@
 }
 
 TEST_F(OwnAnswers, OfTenantsAreAsRecorded) {
-  ASSERT_EQ(day_.put("00000002", tenantDocument("00000003", {{"council", {kKey}, kRatePerSecond}})),
+  ASSERT_EQ(deployment_.put("00000002",
+                            tenantDocument("00000003", {{"council", {kKey}, kRatePerSecond}})),
             200);
   const std::string authorized = "Authorization: Bearer "s + kKey + "\r\n";
-  ASSERT_TRUE(day_.runUntil([&] { return get("/one/x").find("HTTP/1.1 401") == 0; }));
+  ASSERT_TRUE(deployment_.runUntil([&] { return get("/one/x").find("HTTP/1.1 401") == 0; }));
   std::map<std::string, std::string> answers;
   answers["no_key"] = get("/one/x");
   answers["unknown_key"] = get("/one/x", "Authorization: Bearer unknown\r\n");
@@ -122,35 +124,37 @@
 TEST_F(OwnAnswers, LogLinesKeepTheirEventsAndFields) {
   get("/nowhere/");
   get("/one/x", "Deadline-Ms: 0\r\n");
-  for (const auto& server : day_.servers) {
+  for (const auto& server : deployment_.servers) {
     server->crashes_on = "crash";
   }
   get("/one/crash");
-  day_.sendRaw(day_.serverHost(0), day_.ports.reports,
-               "POST /api/instances/i-0/heartbeat HTTP/1.1\r\nHost: h\r\nContent-Length: "
-               "2\r\n\r\n{}");
-  for (std::size_t machine = 0; machine < day_.proxies.size(); ++machine) {
-    std::ofstream(day_.folder + "/server-" + std::to_string(machine) + ".toml", std::ios::app)
+  deployment_.sendRaw(deployment_.serverHost(0), deployment_.ports.reports,
+                      "POST /api/instances/i-0/heartbeat HTTP/1.1\r\nHost: h\r\nContent-Length: "
+                      "2\r\n\r\n{}");
+  for (std::size_t machine = 0; machine < deployment_.proxies.size(); ++machine) {
+    std::ofstream(deployment_.folder + "/server-" + std::to_string(machine) + ".toml",
+                  std::ios::app)
         << "# changed\n";
-    day_.proxies[machine]->signal(SIGHUP);
+    deployment_.proxies[machine]->signal(SIGHUP);
   }
-  day_.runFor(seconds(6));
-  for (auto* programs : {&day_.proxies, &day_.control}) {
+  deployment_.runFor(seconds(6));
+  for (auto* programs : {&deployment_.proxies, &deployment_.control}) {
     for (auto& program : *programs) {
       program->signal(SIGTERM);
     }
     for (auto& program : *programs) {
-      ASSERT_TRUE(day_.runUntil([&] { return !program->running(); }));
+      ASSERT_TRUE(deployment_.runUntil([&] { return !program->running(); }));
     }
   }
-  const auto forms = formsIn(compatibility::readFile(day_.folder + "/log"));
+  const auto forms = formsIn(compatibility::readFile(deployment_.folder + "/log"));
   if (compatibility::recording()) {
     std::string contents;
     for (const std::string& form : forms) {
       contents += form + "\n";
     }
     compatibility::writeFile(compatibility::goldenPath("log_lines.txt"), contents);
-    std::filesystem::copy(day_.folder + "/control-0", compatibility::goldenPath("coordinator"),
+    std::filesystem::copy(deployment_.folder + "/control-0",
+                          compatibility::goldenPath("coordinator"),
                           std::filesystem::copy_options::overwrite_existing |
                               std::filesystem::copy_options::recursive);
     return;
@@ -175,4 +179,4 @@
 }
 
 }  // namespace
-}  // namespace ramppond::stand_in
+}  // namespace ramppond::fake_platform
--- a/tests/daemon/proxy/forwarded_body_wait_test.cc
+++ b/tests/daemon/proxy/forwarded_body_wait_test.cc
@@ -2,19 +2,19 @@
 #include <gtest/gtest.h>
 
 #include "net/stream/http_head.h"
-#include "tests/platform/forwarding_day.h"
+#include "tests/platform/forwarding_fixture.h"
 
-namespace ramppond::stand_in {
+namespace ramppond::fake_platform {
 namespace {
 
 // More than a daemon holds, and less than the configuration allows.
 constexpr auto long_body_bytes = std::size_t(99000);
 
-TEST_F(ForwardingDay, ALongBodyIsWholeAfterAWaitForAServerAndRunsOnce) {
+TEST_F(ForwardingTest, ALongBodyIsWholeAfterAWaitForAServerAndRunsOnce) {
   for (const auto machine : {std::size_t(1), std::size_t(3)}) {
-    this->day_.servers[machine]->beat("draining");
+    this->deployment_.servers[machine]->beat("draining");
   }
-  this->day_.runFor(milliseconds(1500));
+  this->deployment_.runFor(milliseconds(1500));
   auto wanted = this->request("/two/w", "long");
   wanted.method = "POST";
   for (auto i = 0; wanted.body.size() < long_body_bytes; ++i) {
@@ -22,14 +22,14 @@
   }
   auto result = Answer();
   auto done = false;
-  this->day_.sendLater(0, wanted, [&](const Answer& answer) {
+  this->deployment_.sendLater(0, wanted, [&](const Answer& answer) {
     result = answer;
     done = true;
   });
-  this->day_.runFor(milliseconds(60));
-  this->day_.servers[1]->beat("ready");
-  this->day_.servers[3]->beat("ready");
-  EXPECT_TRUE(this->day_.runUntil([&] { return done; }));
+  this->deployment_.runFor(milliseconds(60));
+  this->deployment_.servers[1]->beat("ready");
+  this->deployment_.servers[3]->beat("ready");
+  EXPECT_TRUE(this->deployment_.runUntil([&] { return done; }));
   EXPECT_EQ(result.status, 200);
   EXPECT_EQ(this->runsOf("long"), 1);
   ASSERT_GE(result.body.size(), wanted.body.size());
@@ -37,7 +37,7 @@
 }
 
 // The end of the request comes only after the interim answer, and nothing is under way before.
-TEST_F(ForwardingDay, ALongBodyThatComesInPiecesIsReadToTheEndThatIsHeldBack) {
+TEST_F(ForwardingTest, ALongBodyThatComesInPiecesIsReadToTheEndThatIsHeldBack) {
   const auto chunk = chunkBytes(std::string(long_body_bytes, 'a'));
   constexpr auto first_piece = std::size_t(70000);
   const auto head = std::string(
@@ -45,8 +45,8 @@
       "Ramppond-Instance: i-1\r\nRamppond-Service: two\r\nRamppond-Route: r-two\r\n"
       "Ramppond-Patience-Ms: 1000\r\nRamppond-Confirm: 99000\r\n"
       "Transfer-Encoding: chunked\r\n\r\n");
-  const auto answer = this->day_.sendInParts(
-      this->day_.serverHost(1), this->day_.ports.peers,
+  const auto answer = this->deployment_.sendInParts(
+      this->deployment_.serverHost(1), this->deployment_.ports.peers,
       {head + chunk.substr(0, first_piece), chunk.substr(first_piece), std::string(kLastChunk)},
       "Server-Stamp");
   EXPECT_NE(answer.find("HTTP/1.1 200"), std::string::npos) << answer.substr(0, 300);
@@ -54,4 +54,4 @@
 }
 
 }  // namespace
-}  // namespace ramppond::stand_in
+}  // namespace ramppond::fake_platform
--- a/tests/platform/bad_input_day_test.cc
+++ b/tests/platform/bad_input_day_test.cc
@@ -4,14 +4,14 @@
 #include <fstream>
 #include <sstream>
 
-#include "tests/platform/forwarding_day.h"
+#include "tests/platform/forwarding_fixture.h"
 
-namespace ramppond::stand_in {
+namespace ramppond::fake_platform {
 namespace {
 
 using namespace std::string_literals;
 
-TEST_F(ForwardingDay, BadInputGetsAClearAnswerAndHurtsNobody) {
+TEST_F(ForwardingTest, BadInputGetsAClearAnswerAndHurtsNobody) {
   const std::string host = "Host: app.example\r\n";
   const std::string unfinished = "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03"s;
   const std::vector<std::string> wrong_heads = {
@@ -32,20 +32,24 @@
       "POST /two/x HTTP/1.1\r\n" + host +
           "Transfer-Encoding: chunked\r\n\r\nffffffffffffffffff\r\n",
   };
-  for (const std::uint16_t port : {day_.ports.clients, day_.ports.peers, day_.ports.reports}) {
-    const std::string answer = day_.sendUnfinished(day_.serverHost(0), port, unfinished);
+  for (const std::uint16_t port :
+       {deployment_.ports.clients, deployment_.ports.peers, deployment_.ports.reports}) {
+    const std::string answer =
+        deployment_.sendUnfinished(deployment_.serverHost(0), port, unfinished);
     EXPECT_TRUE(answer.empty() || answer.substr(0, 10) == "HTTP/1.1 4") << answer;
   }
   for (const std::string& bytes : wrong_heads) {
-    for (const std::uint16_t port : {day_.ports.clients, day_.ports.peers, day_.ports.reports}) {
-      const std::string answer = day_.sendRaw(day_.serverHost(0), port, bytes);
+    for (const std::uint16_t port :
+         {deployment_.ports.clients, deployment_.ports.peers, deployment_.ports.reports}) {
+      const std::string answer = deployment_.sendRaw(deployment_.serverHost(0), port, bytes);
       EXPECT_TRUE(answer.empty() || answer.substr(0, 10) == "HTTP/1.1 4") << bytes << answer;
     }
   }
   // Peers add fields of their own, so their port takes larger heads than clients may send.
   const std::string large = "GET /one/x HTTP/1.1\r\n" + host + "X: " + std::string(20000, 'x');
-  for (const std::uint16_t port : {day_.ports.clients, day_.ports.reports}) {
-    const std::string answer = day_.sendRaw(day_.serverHost(0), port, large + "\r\n\r\n");
+  for (const std::uint16_t port : {deployment_.ports.clients, deployment_.ports.reports}) {
+    const std::string answer =
+        deployment_.sendRaw(deployment_.serverHost(0), port, large + "\r\n\r\n");
     EXPECT_EQ(answer.substr(0, 12), "HTTP/1.1 431");
   }
   const std::vector<std::pair<std::string, std::string>> odd = {
@@ -62,7 +66,8 @@
       {"GET /one/x HTTP/1.0\r\n" + host + "Request-Id: o6\r\n\r\n", "200"},
   };
   for (const auto& [bytes, status] : odd) {
-    const std::string answer = day_.sendRaw(day_.serverHost(0), day_.ports.clients, bytes);
+    const std::string answer =
+        deployment_.sendRaw(deployment_.serverHost(0), deployment_.ports.clients, bytes);
     EXPECT_EQ(answer.substr(0, 12), "HTTP/1.1 " + status) << bytes << answer;
   }
   const std::vector<std::string> documents = {
@@ -77,22 +82,27 @@
       configurationDocument("00000001", "/o/"),
       configurationDocument("00000009", "/o/").substr(0, 300)};
   for (const std::string& document : documents) {
-    const int status = day_.put("00000002", document);
+    const int status = deployment_.put("00000002", document);
     EXPECT_TRUE(status >= 400 && status < 500) << status << " for " << document;
   }
-  EXPECT_EQ(day_.sendRaw(day_.controlHost(0), day_.ports.members, std::string(64, '\xff')), "");
-  EXPECT_EQ(day_.sendRaw(day_.controlHost(0), day_.ports.operators, "x\r\n\r\n").substr(0, 12),
-            "HTTP/1.1 400");
-  const std::string report = "POST /api/instances/i-0/heartbeat HTTP/1.1\r\nHost: h\r\n";
+  EXPECT_EQ(deployment_.sendRaw(deployment_.controlHost(0), deployment_.ports.members,
+                                std::string(64, '\xff')),
+            "");
   EXPECT_EQ(
-      day_.sendRaw(day_.serverHost(0), day_.ports.reports, report + "Content-Length: 2\r\n\r\n{}")
+      deployment_.sendRaw(deployment_.controlHost(0), deployment_.ports.operators, "x\r\n\r\n")
           .substr(0, 12),
       "HTTP/1.1 400");
+  const std::string report = "POST /api/instances/i-0/heartbeat HTTP/1.1\r\nHost: h\r\n";
+  EXPECT_EQ(deployment_
+                .sendRaw(deployment_.serverHost(0), deployment_.ports.reports,
+                         report + "Content-Length: 2\r\n\r\n{}")
+                .substr(0, 12),
+            "HTTP/1.1 400");
   EXPECT_TRUE(allServe("/one/x"));
-  for (const auto& program : day_.proxies) {
+  for (const auto& program : deployment_.proxies) {
     EXPECT_TRUE(program->running());
   }
-  for (const auto& program : day_.control) {
+  for (const auto& program : deployment_.control) {
     EXPECT_TRUE(program->running());
   }
 }
@@ -142,7 +152,7 @@
   EXPECT_NE(log.str().find("bounds: expected NAME=VALUE, found '2.5'"), std::string::npos);
 }
 
-TEST_F(ForwardingDay, HeartbeatsOfAnotherWriterNameNoServer) {
+TEST_F(ForwardingTest, HeartbeatsOfAnotherWriterNameNoServer) {
   const std::string service = R"("info":{"service":"unheard-of","slots":9,"zone":"z"})";
   const std::string own = R"("info":{"service":"one","slots":9,"zone":"z"})";
   const std::string ready = R"("status":{"state":"ready","seq":1,"cold_left_s":0})";
@@ -157,16 +167,16 @@
     const std::string head = "POST /api/instances/other/heartbeat HTTP/1.1\r\nHost: a\r\n";
     const std::string length = "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n";
     for (int machine = 0; machine < Deployment::kServerMachines; ++machine) {
-      const std::string answer =
-          day_.sendRaw(day_.serverHost(machine), day_.ports.reports, head + length + body);
+      const std::string answer = deployment_.sendRaw(
+          deployment_.serverHost(machine), deployment_.ports.reports, head + length + body);
       EXPECT_EQ(answer.substr(0, 12), "HTTP/1.1 400") << body;
     }
   }
   const std::string answer =
-      day_.sendRaw(day_.serverHost(0), day_.ports.clients,
-                   "GET /one/x HTTP/1.1\r\nHost: app.example\r\nRequest-Id: after\r\n\r\n");
+      deployment_.sendRaw(deployment_.serverHost(0), deployment_.ports.clients,
+                          "GET /one/x HTTP/1.1\r\nHost: app.example\r\nRequest-Id: after\r\n\r\n");
   EXPECT_EQ(answer.substr(0, 12), "HTTP/1.1 200") << answer;
 }
 
 }  // namespace
-}  // namespace ramppond::stand_in
+}  // namespace ramppond::fake_platform
--- a/tests/platform/crashing_requests_day_test.cc
+++ b/tests/platform/crashing_requests_day_test.cc
@@ -12,24 +12,24 @@
 // row.
 #include <gtest/gtest.h>
 
-#include "tests/platform/forwarding_day.h"
+#include "tests/platform/forwarding_fixture.h"
 
-namespace ramppond::stand_in {
+namespace ramppond::fake_platform {
 namespace {
 
 constexpr char kHarmful[] = "/one/harmful";
 
-class CrashingRequestsDay : public ForwardingDay {
+class CrashingRequestsDay : public ForwardingTest {
  protected:
   void SetUp() override {
-    ForwardingDay::SetUp();
-    for (const auto& server : day_.servers) {
+    ForwardingTest::SetUp();
+    for (const auto& server : deployment_.servers) {
       server->crashes_on = "/harmful";
     }
   }
   std::size_t crashes() const {
     std::size_t all = 0;
-    for (const auto& server : day_.servers) {
+    for (const auto& server : deployment_.servers) {
       all += server->crashes;
     }
     return all;
@@ -37,15 +37,17 @@
   /// Some machine's request for the service is served.
   bool serves(const std::string& target) {
     const std::string id = "beside-" + std::to_string(next_++);
-    return day_.send(static_cast<int>(next_ % Deployment::kServerMachines), request(target, id))
+    return deployment_
+               .send(static_cast<int>(next_ % Deployment::kServerMachines), request(target, id))
                .status == 200;
   }
   /// The request is sent until it is refused without a run, twice in a row.
   bool block() {
     int refused = 0;
-    return day_.runUntil([&] {
+    return deployment_.runUntil([&] {
       const std::size_t before = crashes();
-      const Answer answer = day_.send(0, request(kHarmful, "harmful-" + std::to_string(next_++)));
+      const Answer answer =
+          deployment_.send(0, request(kHarmful, "harmful-" + std::to_string(next_++)));
       const bool blocked = answer.status == 503 && !answer.retry_after.empty() &&
                            crashes() == before && serves("/one/beside");
       refused = blocked ? refused + 1 : 0;
@@ -61,15 +63,15 @@
   constexpr int kTries = 16;
   Answer last;
   for (int number = 0; number < kTries; ++number) {
-    ASSERT_TRUE(day_.runUntil([this] { return serves("/one/beside"); }));
-    last = day_.send(number % Deployment::kServerMachines,
-                     request(kHarmful, "harmful-" + std::to_string(number)));
+    ASSERT_TRUE(deployment_.runUntil([this] { return serves("/one/beside"); }));
+    last = deployment_.send(number % Deployment::kServerMachines,
+                            request(kHarmful, "harmful-" + std::to_string(number)));
   }
   RecordProperty("crashes", static_cast<int>(crashes()));
   EXPECT_LE(crashes(), kMostCrashes);
   EXPECT_GE(crashes(), 1U);
   EXPECT_EQ(last.status, 503);
-  EXPECT_TRUE(day_.runUntil([this] { return allServe("/one/beside"); }));
+  EXPECT_TRUE(deployment_.runUntil([this] { return allServe("/one/beside"); }));
 }
 
 // Those under way beside it run isolated at another server, one after the other, and are served.
@@ -77,20 +79,22 @@
   constexpr int kClients = 1;
   constexpr std::size_t kRequests = 8;
   for (int earned = 0; earned < 80; ++earned) {  // Retries are paid for by first sends.
-    ASSERT_EQ(day_.send(kClients, request("/one/e", "earn-" + std::to_string(earned))).status, 200);
+    ASSERT_EQ(
+        deployment_.send(kClients, request("/one/e", "earn-" + std::to_string(earned))).status,
+        200);
   }
-  for (const auto& server : day_.servers) {
+  for (const auto& server : deployment_.servers) {
     server->work = milliseconds(100);
   }
   std::map<std::string, Answer> answers;
   for (std::size_t number = 0; number < kRequests; ++number) {
     const std::string id = "beside-" + std::to_string(number);
-    day_.sendLater(kClients, request("/one/" + id, id),
-                   [&answers, id](const Answer& answer) { answers[id] = answer; });
+    deployment_.sendLater(kClients, request("/one/" + id, id),
+                          [&answers, id](const Answer& answer) { answers[id] = answer; });
   }
-  day_.runFor(milliseconds(30));
-  day_.servers[0]->crash();
-  EXPECT_TRUE(day_.runUntil([&] { return answers.size() == kRequests; }));
+  deployment_.runFor(milliseconds(30));
+  deployment_.servers[0]->crash();
+  EXPECT_TRUE(deployment_.runUntil([&] { return answers.size() == kRequests; }));
   for (const auto& [id, answer] : answers) {
     EXPECT_EQ(answer.status, 200) << id;
   }
@@ -101,12 +105,12 @@
   ASSERT_TRUE(block());
   Request wanted = request(kHarmful, "barred");
   const std::size_t before = crashes();
-  const Answer answer = day_.send(1, wanted);
+  const Answer answer = deployment_.send(1, wanted);
   EXPECT_EQ(answer.status, 503);
   EXPECT_FALSE(answer.retry_after.empty());
   EXPECT_EQ(answer.request_id, "barred");
   EXPECT_EQ(crashes(), before);
-  ASSERT_TRUE(day_.runUntil([this] { return allServe("/one/beside"); }));
+  ASSERT_TRUE(deployment_.runUntil([this] { return allServe("/one/beside"); }));
   for (int number = 0; number < 40; ++number) {
     const std::string target =
         number % 2 == 0 ? "/one/beside" : "/one/new-" + std::to_string(number);
@@ -118,14 +122,14 @@
 TEST_F(CrashingRequestsDay, AProxyThatStartsAnewLearnsWhatIsBlocked) {
   ASSERT_TRUE(block());
   for (const std::size_t machine : {std::size_t{0}, std::size_t{2}}) {
-    day_.proxies[machine].reset();
-    day_.startProxy(static_cast<int>(machine));
-    ASSERT_TRUE(day_.runUntil([this] { return allServe("/one/beside"); }));
+    deployment_.proxies[machine].reset();
+    deployment_.startProxy(static_cast<int>(machine));
+    ASSERT_TRUE(deployment_.runUntil([this] { return allServe("/one/beside"); }));
   }
   const std::size_t before = crashes();
   for (int number = 0; number < 8; ++number) {
-    const Answer answer = day_.send(number % Deployment::kServerMachines,
-                                    request(kHarmful, "again-" + std::to_string(number)));
+    const Answer answer = deployment_.send(number % Deployment::kServerMachines,
+                                           request(kHarmful, "again-" + std::to_string(number)));
     EXPECT_EQ(answer.status, 503);
   }
   EXPECT_EQ(crashes(), before);
@@ -134,17 +138,17 @@
 // Every process is killed at the same moment, and nobody is left to report.
 TEST_F(CrashingRequestsDay, WhatIsBlockedIsKnownAfterTheCrashOfAllProcesses) {
   ASSERT_TRUE(block());
-  day_.runFor(
+  deployment_.runFor(
       milliseconds(500));  // The record of the last crash is with the control group by then.
-  day_.proxies.clear();
-  day_.control.clear();
-  day_.startControl();
-  day_.startProxies();
-  ASSERT_TRUE(day_.runUntil([this] { return allServe("/one/beside"); }));
+  deployment_.proxies.clear();
+  deployment_.control.clear();
+  deployment_.startControl();
+  deployment_.startProxies();
+  ASSERT_TRUE(deployment_.runUntil([this] { return allServe("/one/beside"); }));
   const std::size_t before = crashes();
-  EXPECT_EQ(day_.send(1, request(kHarmful, "after-all")).status, 503);
+  EXPECT_EQ(deployment_.send(1, request(kHarmful, "after-all")).status, 503);
   EXPECT_EQ(crashes(), before);
 }
 
 }  // namespace
-}  // namespace ramppond::stand_in
+}  // namespace ramppond::fake_platform
--- a/tests/platform/stand_in.cc
+++ b/tests/platform/fake_platform.cc
@@ -1,4 +1,4 @@
-#include "tests/platform/stand_in.h"
+#include "tests/platform/fake_platform.h"
 
 #include <fcntl.h>
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 #include <filesystem>
 #include <fstream>
 
-namespace ramppond::stand_in {
+namespace ramppond::fake_platform {
 namespace {
 
 constexpr Duration kPatience = seconds(20);
@@ -553,4 +553,4 @@
   return document.insert(document.size() - 2, "," + added);
 }
 
-}  // namespace ramppond::stand_in
+}  // namespace ramppond::fake_platform
--- a/tests/platform/stand_in.h
+++ b/tests/platform/fake_platform.h
@@ -16,7 +16,7 @@
 #include "net/stream/http_client.h"
 #include "net/stream/http_server.h"
 
-namespace ramppond::stand_in {
+namespace ramppond::fake_platform {
 
 /// A program started by the test and ended with it.
 class Program {
@@ -196,4 +196,4 @@
 /// The same with these tenants and a public route /open/ (safe, service one).
 std::string tenantDocument(const std::string& version, const std::vector<StandInTenant>& tenants);
 
-}  // namespace ramppond::stand_in
+}  // namespace ramppond::fake_platform
--- a/tests/platform/stand_in_test.cc
+++ b/tests/platform/fake_platform_test.cc
@@ -1,9 +1,9 @@
 // The stand-in itself: what it leaves behind. The sanitizers of CI look for leaks.
-#include "tests/platform/stand_in.h"
+#include "tests/platform/fake_platform.h"
 
 #include <gtest/gtest.h>
 
-namespace ramppond::stand_in {
+namespace ramppond::fake_platform {
 namespace {
 
 TEST(AppServer, MayEndWhileAHeartbeatIsUnderWay) {
@@ -23,4 +23,4 @@
 }
 
 }  // namespace
-}  // namespace ramppond::stand_in
+}  // namespace ramppond::fake_platform
--- a/tests/platform/forwarding_day_test.cc
+++ b/tests/platform/forwarding_day_test.cc
@@ -1,14 +1,14 @@
 // Short days of the whole forwarding path with real processes: answers, changes, members, disks.
-#include "tests/platform/forwarding_day.h"
-
 #include <gtest/gtest.h>
 
 #include <set>
 
-namespace ramppond::stand_in {
+#include "tests/platform/forwarding_fixture.h"
+
+namespace ramppond::fake_platform {
 namespace {
 
-TEST_F(ForwardingDay, EveryAnswerIsWholeAndToItsOwnRequest) {
+TEST_F(ForwardingTest, EveryAnswerIsWholeAndToItsOwnRequest) {
   constexpr std::size_t kRequests = 200;
   constexpr std::size_t kAtOnce = 5;  // Fewer than the slots of any one server.
   const auto answers = sendMany(kRequests, kAtOnce);
@@ -17,7 +17,7 @@
     EXPECT_TRUE(isOwnAnswer(number, answers.at(id))) << answers.at(id).status;
     EXPECT_EQ(runsOf(id), 1);
   }
-  for (const auto& server : day_.servers) {
+  for (const auto& server : deployment_.servers) {
     if (!server->runs.empty()) {
       EXPECT_TRUE(server->caller_service == "one" || server->caller_service == "two");
       EXPECT_EQ(server->expected_instance.substr(0, 2), "i-");
@@ -26,8 +26,8 @@
 }
 
 // More than the servers can hold: some are refused, and whoever is refused did not run.
-TEST_F(ForwardingDay, WhoeverIsRefusedUnderOverloadDidNotRun) {
-  for (const auto& server : day_.servers) {
+TEST_F(ForwardingTest, WhoeverIsRefusedUnderOverloadDidNotRun) {
+  for (const auto& server : deployment_.servers) {
     server->work = milliseconds(50);
   }
   constexpr std::size_t kRequests = 600;
@@ -49,78 +49,78 @@
   EXPECT_LT(refused, kRequests);
 }
 
-TEST_F(ForwardingDay, LargeAnswersPassInFlatMemory) {
+TEST_F(ForwardingTest, LargeAnswersPassInFlatMemory) {
   std::vector<std::size_t> before;
-  for (const auto& program : day_.proxies) {
+  for (const auto& program : deployment_.proxies) {
     before.push_back(program->peakMemoryKib());
     EXPECT_GT(before.back(), 0U);
   }
-  const Answer answer = day_.send(0, request("/one/large", "large"));
+  const Answer answer = deployment_.send(0, request("/one/large", "large"));
   EXPECT_TRUE(answer.complete);
   EXPECT_EQ(answer.body.size(), kLargeAnswerBytes);
   constexpr std::size_t kMostGrowthKib = kLargeAnswerBytes / 1024 / 4;
   for (std::size_t machine = 0; machine < before.size(); ++machine) {
-    EXPECT_LT(day_.proxies[machine]->peakMemoryKib() - before[machine], kMostGrowthKib);
+    EXPECT_LT(deployment_.proxies[machine]->peakMemoryKib() - before[machine], kMostGrowthKib);
   }
 }
 
-TEST_F(ForwardingDay, AChangeIsInForceEverywhereAndReadBackAsItWasPut) {
-  EXPECT_EQ(day_.send(0, request("/second/x", "before")).status, 404);
+TEST_F(ForwardingTest, AChangeIsInForceEverywhereAndReadBackAsItWasPut) {
+  EXPECT_EQ(deployment_.send(0, request("/second/x", "before")).status, 404);
   const std::string next = configurationDocument("00000005", "/second/");
-  EXPECT_EQ(day_.put("00000002", next), 200);
-  EXPECT_EQ(day_.put("00000002", next), 200);  // Sent again unchanged.
-  EXPECT_EQ(day_.put("00000002", configurationDocument("00000005", "/other/")), 412);
-  EXPECT_EQ(day_.put("00000005", configurationDocument("00000004", "/other/")), 400);
-  EXPECT_TRUE(day_.runUntil([this] { return allServe("/second/x"); }));
-  EXPECT_EQ(day_.read(), next);
-  EXPECT_EQ(day_.send(1, request("/first/x", "after")).status, 404);
+  EXPECT_EQ(deployment_.put("00000002", next), 200);
+  EXPECT_EQ(deployment_.put("00000002", next), 200);  // Sent again unchanged.
+  EXPECT_EQ(deployment_.put("00000002", configurationDocument("00000005", "/other/")), 412);
+  EXPECT_EQ(deployment_.put("00000005", configurationDocument("00000004", "/other/")), 400);
+  EXPECT_TRUE(deployment_.runUntil([this] { return allServe("/second/x"); }));
+  EXPECT_EQ(deployment_.read(), next);
+  EXPECT_EQ(deployment_.send(1, request("/first/x", "after")).status, 404);
 }
 
-TEST_F(ForwardingDay, ALostControlMemberAndARestartOfAllLoseNothing) {
-  day_.control[0]->signal(SIGKILL);
+TEST_F(ForwardingTest, ALostControlMemberAndARestartOfAllLoseNothing) {
+  deployment_.control[0]->signal(SIGKILL);
   const std::string next = configurationDocument("00000005", "/second/");
-  EXPECT_EQ(day_.put("00000002", next), 200);
-  day_.control.clear();
-  day_.startControl();
-  ASSERT_TRUE(day_.runUntil([&] { return day_.read() == next; }));
-  EXPECT_TRUE(day_.runUntil([this] { return allServe("/second/x"); }));
+  EXPECT_EQ(deployment_.put("00000002", next), 200);
+  deployment_.control.clear();
+  deployment_.startControl();
+  ASSERT_TRUE(deployment_.runUntil([&] { return deployment_.read() == next; }));
+  EXPECT_TRUE(deployment_.runUntil([this] { return allServe("/second/x"); }));
 }
 
 // Whichever member it is, the leader too: the others go on, and it takes part again afterwards.
-TEST_F(ForwardingDay, AMemberWhoseDiskIsFullLivesOnAndComesBack) {
+TEST_F(ForwardingTest, AMemberWhoseDiskIsFullLivesOnAndComesBack) {
   for (std::size_t full = 0; full < Deployment::kControlMachines; ++full) {
     const std::string base = "0000000" + std::to_string(2 + full);
     const std::string next = configurationDocument("0000000" + std::to_string(3 + full), "/n/");
-    day_.control[full]->fillDisk();
-    EXPECT_EQ(day_.put(base, next), 200);
-    EXPECT_TRUE(day_.runUntil([this] { return allServe("/n/x"); }));
-    EXPECT_TRUE(day_.control[full]->running());
-    day_.control[full]->emptyDisk();
+    deployment_.control[full]->fillDisk();
+    EXPECT_EQ(deployment_.put(base, next), 200);
+    EXPECT_TRUE(deployment_.runUntil([this] { return allServe("/n/x"); }));
+    EXPECT_TRUE(deployment_.control[full]->running());
+    deployment_.control[full]->emptyDisk();
   }
-  day_.control[0]->signal(SIGKILL);  // The other two are needed now.
+  deployment_.control[0]->signal(SIGKILL);  // The other two are needed now.
   const std::string last = configurationDocument("00000009", "/last/");
-  EXPECT_EQ(day_.put("00000005", last), 200);
-  EXPECT_TRUE(day_.runUntil([this] { return allServe("/last/x"); }));
+  EXPECT_EQ(deployment_.put("00000005", last), 200);
+  EXPECT_TRUE(deployment_.runUntil([this] { return allServe("/last/x"); }));
 }
 
 // With no disk to write to, nothing is acknowledged; what was acknowledged before is kept.
-TEST_F(ForwardingDay, WhileAllDisksAreFullNothingIsAcknowledgedAndNothingLost) {
-  for (const auto& member : day_.control) {
+TEST_F(ForwardingTest, WhileAllDisksAreFullNothingIsAcknowledgedAndNothingLost) {
+  for (const auto& member : deployment_.control) {
     member->fillDisk();
   }
   const std::string next = configurationDocument("00000005", "/second/");
   for (int machine = 0; machine < Deployment::kControlMachines; ++machine) {
-    const int status = day_.putTo(machine, "00000002", next);
+    const int status = deployment_.putTo(machine, "00000002", next);
     EXPECT_TRUE(status == 503 || status == 0) << status;
   }
   EXPECT_TRUE(allServe("/first/x"));
-  for (const auto& member : day_.control) {
+  for (const auto& member : deployment_.control) {
     EXPECT_TRUE(member->running());
     member->emptyDisk();
   }
-  EXPECT_EQ(day_.put("00000002", next), 200);
-  EXPECT_TRUE(day_.runUntil([&] { return day_.read() == next; }));
+  EXPECT_EQ(deployment_.put("00000002", next), 200);
+  EXPECT_TRUE(deployment_.runUntil([&] { return deployment_.read() == next; }));
 }
 
 }  // namespace
-}  // namespace ramppond::stand_in
+}  // namespace ramppond::fake_platform
--- a/tests/platform/forwarding_day.cc
+++ b/tests/platform/forwarding_fixture.cc
@@ -1,21 +1,21 @@
-#include "tests/platform/forwarding_day.h"
+#include "tests/platform/forwarding_fixture.h"
 
 #include <fstream>
 #include <iostream>
 
-namespace ramppond::stand_in {
+namespace ramppond::fake_platform {
 
-void ForwardingDay::TearDown() {
+void ForwardingTest::TearDown() {
   if (!HasFailure()) {
     return;
   }
-  for (const auto* programs : {&day_.control, &day_.proxies}) {
+  for (const auto* programs : {&deployment_.control, &deployment_.proxies}) {
     for (const auto& program : *programs) {
       std::cout << (program->running() ? "runs " : "ended ") << program->exitStatus() << "\n";
     }
   }
-  std::cout << std::ifstream(day_.folder + "/log").rdbuf() << std::endl;
-  for (const auto& server : day_.servers) {
+  std::cout << std::ifstream(deployment_.folder + "/log").rdbuf() << std::endl;
+  for (const auto& server : deployment_.servers) {
     std::cout << "acknowledged heartbeats: " << server->beats_acknowledged << "\n";
   }
 }
@@ -24,7 +24,7 @@
   return number % 3 == 0;
 }
 
-std::map<std::string, Answer> ForwardingDay::sendMany(std::size_t count, std::size_t at_once) {
+std::map<std::string, Answer> ForwardingTest::sendMany(std::size_t count, std::size_t at_once) {
   std::map<std::string, Answer> answers;
   for (std::size_t number = 0; number < count; ++number) {
     const std::string id = "own-" + std::to_string(number);
@@ -36,11 +36,11 @@
       wanted.method = "POST";
       wanted.body = "body of " + id;
     }
-    EXPECT_TRUE(day_.runUntil([&] { return number - answers.size() < at_once; }));
-    day_.sendLater(static_cast<int>(number % Deployment::kServerMachines), wanted,
-                   [&answers, id](const Answer& answer) { answers[id] = answer; });
+    EXPECT_TRUE(deployment_.runUntil([&] { return number - answers.size() < at_once; }));
+    deployment_.sendLater(static_cast<int>(number % Deployment::kServerMachines), wanted,
+                          [&answers, id](const Answer& answer) { answers[id] = answer; });
   }
-  EXPECT_TRUE(day_.runUntil([&] { return answers.size() == count; }));
+  EXPECT_TRUE(deployment_.runUntil([&] { return answers.size() == count; }));
   return answers;
 }
 
@@ -52,4 +52,4 @@
          answer.request_id == id;
 }
 
-}  // namespace ramppond::stand_in
+}  // namespace ramppond::fake_platform
--- a/tests/platform/forwarding_day.h
+++ b/tests/platform/forwarding_fixture.h
@@ -8,18 +8,18 @@
 #include <map>
 #include <string>
 
-#include "tests/platform/stand_in.h"
+#include "tests/platform/fake_platform.h"
 
-namespace ramppond::stand_in {
+namespace ramppond::fake_platform {
 
-class ForwardingDay : public testing::Test {
+class ForwardingTest : public testing::Test {
  protected:
   void SetUp() override {
-    day_.startControl();
-    day_.startProxies();
-    day_.startServers();
-    ASSERT_EQ(day_.put("0", configurationDocument("00000002", "/first/")), 200);
-    ASSERT_TRUE(day_.runUntil(
+    deployment_.startControl();
+    deployment_.startProxies();
+    deployment_.startServers();
+    ASSERT_EQ(deployment_.put("0", configurationDocument("00000002", "/first/")), 200);
+    ASSERT_TRUE(deployment_.runUntil(
         [this] { return allServe("/one/x") && allServe("/two/x") && everyServerHasRun(); }));
   }
   /// What the programs wrote, and which still run: a failure that shows once must be traceable.
@@ -34,7 +34,8 @@
   }
   bool allServe(const std::string& target) {
     for (int machine = 0; machine < Deployment::kServerMachines; ++machine) {
-      if (day_.send(machine, request(target, "probe-" + std::to_string(next_++))).status != 200) {
+      if (deployment_.send(machine, request(target, "probe-" + std::to_string(next_++))).status !=
+          200) {
         return false;
       }
     }
@@ -42,12 +43,12 @@
   }
   /// A server whose first heartbeat was not taken becomes known an interval later.
   bool everyServerHasRun() {
-    return std::all_of(day_.servers.begin(), day_.servers.end(),
+    return std::all_of(deployment_.servers.begin(), deployment_.servers.end(),
                        [](const auto& server) { return !server->runs.empty(); });
   }
   int runsOf(const std::string& id) {
     int runs = 0;
-    for (const auto& server : day_.servers) {
+    for (const auto& server : deployment_.servers) {
       const auto found = server->runs.find(id);
       runs += found == server->runs.end() ? 0 : found->second;
     }
@@ -57,7 +58,7 @@
   /// Sends `count` requests, at most `at_once` at a time; gives each answer by its request's id.
   std::map<std::string, Answer> sendMany(std::size_t count, std::size_t at_once);
 
-  Deployment day_;
+  Deployment deployment_;
   std::uint64_t next_ = 1;
 };
 
@@ -66,4 +67,4 @@
 /// Whether the answer to request `number` of sendMany() is its server's own, and whole.
 bool isOwnAnswer(std::size_t number, const Answer& answer);
 
-}  // namespace ramppond::stand_in
+}  // namespace ramppond::fake_platform
--- a/tests/platform/planned_stop_day_test.cc
+++ b/tests/platform/planned_stop_day_test.cc
@@ -3,13 +3,13 @@
 
 #include <csignal>
 
-#include "tests/platform/forwarding_day.h"
+#include "tests/platform/forwarding_fixture.h"
 
-namespace ramppond::stand_in {
+namespace ramppond::fake_platform {
 namespace {
 
-TEST_F(ForwardingDay, StoppingDaemonsOneAfterTheOtherCutsNoRequest) {
-  for (const auto& server : day_.servers) {
+TEST_F(ForwardingTest, StoppingDaemonsOneAfterTheOtherCutsNoRequest) {
+  for (const auto& server : deployment_.servers) {
     server->work = milliseconds(80);
   }
   for (int stopped = 0; stopped < 2; ++stopped) {
@@ -19,68 +19,69 @@
     const auto sendSome = [&](int machine) {
       sent += 1;
       const std::string id = "stop-" + std::to_string(stopped) + "-" + std::to_string(sent);
-      day_.sendLater(machine, request("/one/s", id), [&](const Answer& answer) {
+      deployment_.sendLater(machine, request("/one/s", id), [&](const Answer& answer) {
         answered += 1;
         complete += answer.complete ? 1 : 0;
       });
     };
     sendSome(stopped);
     sendSome(stopped);
-    day_.runFor(milliseconds(20));
-    day_.proxies[static_cast<std::size_t>(stopped)]->signal(SIGTERM);
-    EXPECT_TRUE(day_.runUntil([&] { return day_.readiness(stopped) == 503; }));
+    deployment_.runFor(milliseconds(20));
+    deployment_.proxies[static_cast<std::size_t>(stopped)]->signal(SIGTERM);
+    EXPECT_TRUE(deployment_.runUntil([&] { return deployment_.readiness(stopped) == 503; }));
     sendSome(stopped);  // Still served, or refused as not run.
     sendSome((stopped + 1) % Deployment::kServerMachines);
-    EXPECT_TRUE(day_.runUntil([&] { return answered == sent; }));
+    EXPECT_TRUE(deployment_.runUntil([&] { return answered == sent; }));
     EXPECT_EQ(complete, sent);
-    auto& program = *day_.proxies[static_cast<std::size_t>(stopped)];
-    EXPECT_TRUE(day_.runUntil([&] { return !program.running(); }));
+    auto& program = *deployment_.proxies[static_cast<std::size_t>(stopped)];
+    EXPECT_TRUE(deployment_.runUntil([&] { return !program.running(); }));
     EXPECT_EQ(program.exitStatus(), 0);
-    day_.startProxy(stopped);
-    EXPECT_TRUE(day_.runUntil([&] { return day_.readiness(stopped) == 200; }));
+    deployment_.startProxy(stopped);
+    EXPECT_TRUE(deployment_.runUntil([&] { return deployment_.readiness(stopped) == 200; }));
   }
 }
 
 // A request that begins and ends between two looks at what is under way was once cut: its answer
 // was with the connection and had not left. Here the daemon stands still from the moment at which
 // the server has the request until the answer and its own timers wait for it together.
-TEST_F(ForwardingDay, AStoppingDaemonDeliversAnAnswerThatItGetsWhenItMayEnd) {
+TEST_F(ForwardingTest, AStoppingDaemonDeliversAnAnswerThatItGetsWhenItMayEnd) {
   constexpr int kStopped = 0;
-  const auto& program = day_.proxies[kStopped];
-  for (const auto& server : day_.servers) {
+  const auto& program = deployment_.proxies[kStopped];
+  for (const auto& server : deployment_.servers) {
     server->work = milliseconds(400);
   }
   program->signal(SIGTERM);
-  day_.runFor(milliseconds(1900));
+  deployment_.runFor(milliseconds(1900));
   bool last_done = false;
-  day_.sendLater(kStopped, request("/one/busy", "busy"), [&](const Answer&) { last_done = true; });
-  ASSERT_TRUE(day_.runUntil([&] { return last_done; }));
-  for (const auto& server : day_.servers) {
+  deployment_.sendLater(kStopped, request("/one/busy", "busy"),
+                        [&](const Answer&) { last_done = true; });
+  ASSERT_TRUE(deployment_.runUntil([&] { return last_done; }));
+  for (const auto& server : deployment_.servers) {
     server->work = milliseconds(10);
   }
-  day_.runFor(milliseconds(150));
+  deployment_.runFor(milliseconds(150));
   Answer answer;
   bool done = false;
-  day_.sendLater(kStopped, request("/one/race", "race"), [&](const Answer& told) {
+  deployment_.sendLater(kStopped, request("/one/race", "race"), [&](const Answer& told) {
     answer = told;
     done = true;
   });
-  day_.runFor(milliseconds(8));
+  deployment_.runFor(milliseconds(8));
   program->signal(SIGSTOP);
-  day_.runFor(milliseconds(300));
+  deployment_.runFor(milliseconds(300));
   program->signal(SIGCONT);
-  ASSERT_TRUE(day_.runUntil([&] { return done; }));
+  ASSERT_TRUE(deployment_.runUntil([&] { return done; }));
   EXPECT_TRUE(answer.complete || runsOf("race") == 0);
-  EXPECT_TRUE(day_.runUntil([&] { return !program->running(); }));
+  EXPECT_TRUE(deployment_.runUntil([&] { return !program->running(); }));
   EXPECT_EQ(program->exitStatus(), 0);
 }
 
 // Whoever sends around the end of a stopping daemon gets a whole answer, or its request was never
 // handed on.
-TEST_F(ForwardingDay, RequestsAtAnyMomentAroundAStopAreAnsweredOrNeverRead) {
+TEST_F(ForwardingTest, RequestsAtAnyMomentAroundAStopAreAnsweredOrNeverRead) {
   constexpr int kStopped = 0;
-  const auto& program = day_.proxies[kStopped];
-  for (const auto& server : day_.servers) {
+  const auto& program = deployment_.proxies[kStopped];
+  for (const auto& server : deployment_.servers) {
     server->work = milliseconds(30);
   }
   program->signal(SIGTERM);
@@ -91,14 +92,14 @@
     Request wanted = request("/two/o", id);
     wanted.method = "POST";
     wanted.body = "x";
-    day_.sendLater(kStopped, wanted,
-                   [&answers, id](const Answer& answer) { answers[id] = answer; });
+    deployment_.sendLater(kStopped, wanted,
+                          [&answers, id](const Answer& answer) { answers[id] = answer; });
     sent += 1;
     // Pauses of all lengths: shorter and longer than anything that the daemon waits for.
-    day_.runFor(milliseconds(3 + (sent * 37) % 190));
+    deployment_.runFor(milliseconds(3 + (sent * 37) % 190));
   }
   EXPECT_EQ(program->exitStatus(), 0);
-  ASSERT_TRUE(day_.runUntil([&] { return answers.size() == sent; }));
+  ASSERT_TRUE(deployment_.runUntil([&] { return answers.size() == sent; }));
   for (const auto& [id, answer] : answers) {
     const bool not_run = !answer.complete || answer.status == 503;
     EXPECT_EQ(runsOf(id), not_run ? 0 : 1) << id << " status " << answer.status;
@@ -106,4 +107,4 @@
 }
 
 }  // namespace
-}  // namespace ramppond::stand_in
+}  // namespace ramppond::fake_platform
--- a/tests/platform/server_limit_day_test.cc
+++ b/tests/platform/server_limit_day_test.cc
@@ -4,9 +4,9 @@
 #include <algorithm>
 #include <set>
 
-#include "tests/platform/forwarding_day.h"
+#include "tests/platform/forwarding_fixture.h"
 
-namespace ramppond::stand_in {
+namespace ramppond::fake_platform {
 namespace {
 
 constexpr Duration kSecond = seconds(1);
@@ -35,21 +35,22 @@
          1;
 }
 
-class ServerLimitDay : public ForwardingDay {
+class ServerLimitDay : public ForwardingTest {
  protected:
   /// Every proxy knows both servers of the service.
   void SetUp() override {
-    ForwardingDay::SetUp();
+    ForwardingTest::SetUp();
     for (int machine = 0; machine < Deployment::kServerMachines; ++machine) {
       for (const std::size_t server : {std::size_t{0}, std::size_t{2}}) {
-        ASSERT_TRUE(day_.runUntil([&] { return reaches(machine, *day_.servers[server]); }));
+        ASSERT_TRUE(
+            deployment_.runUntil([&] { return reaches(machine, *deployment_.servers[server]); }));
       }
     }
   }
   /// Whether a request that begins on the machine ran at the server.
   bool reaches(int machine, const AppServer& server) {
     const std::string id = "reach-" + std::to_string(next_++);
-    day_.send(machine, request("/one/x", id));
+    deployment_.send(machine, request("/one/x", id));
     return server.runs.count(id) == 1;
   }
   /// Requests at all machines in turn, whether or not earlier ones are answered.
@@ -57,15 +58,15 @@
     const TimePoint end = EventLoop::now() + time;
     while (EventLoop::now() < end) {
       const std::uint64_t number = next_++;
-      day_.sendLater(static_cast<int>(number % Deployment::kServerMachines),
-                     request(target, "press-" + std::to_string(number)),
-                     [this](const Answer& answer) { statuses_[answer.status] += 1; });
+      deployment_.sendLater(static_cast<int>(number % Deployment::kServerMachines),
+                            request(target, "press-" + std::to_string(number)),
+                            [this](const Answer& answer) { statuses_[answer.status] += 1; });
       sent_ += 1;
-      day_.runFor(kBetweenRequests);
+      deployment_.runFor(kBetweenRequests);
     }
   }
   void settle() {
-    EXPECT_TRUE(day_.runUntil([this] {
+    EXPECT_TRUE(deployment_.runUntil([this] {
       int answered = 0;
       for (const auto& [status, count] : statuses_) {
         answered += count;
@@ -80,7 +81,7 @@
 
 TEST_F(ServerLimitDay, AServerThatNamesALimitGetsNoMoreFromAllProxiesTogether) {
   constexpr double kLimit = 10;
-  AppServer& limited = *day_.servers[0];
+  AppServer& limited = *deployment_.servers[0];
   limited.named_limit = "10.0";
   press("/one/x", milliseconds(500));
   const TimePoint known = EventLoop::now();
@@ -96,14 +97,14 @@
 
 TEST_F(ServerLimitDay, AProxyThatStartsAnewBesideALimitedServerKeepsTheLimit) {
   constexpr double kLimit = 5;
-  AppServer& limited = *day_.servers[0];
+  AppServer& limited = *deployment_.servers[0];
   limited.named_limit = "5";
   limited.work = milliseconds(400);
   press("/one/x", seconds(1));
   const TimePoint known = EventLoop::now();
   press("/one/x", seconds(2));
-  day_.proxies[0].reset();
-  day_.startProxy(0);
+  deployment_.proxies[0].reset();
+  deployment_.startProxy(0);
   press("/one/x", seconds(4));
   EXPECT_LE(static_cast<double>(mostInAWindow(limited.arrivals, known)), allowed(kLimit));
 }
@@ -111,8 +112,9 @@
 TEST_F(ServerLimitDay, ALimitThatCannotBeReadChangesNothingAndOneThatIsNamedNoMoreEnds) {
   constexpr double kLimit = 5;
   constexpr std::size_t kManyMore = 50;
-  AppServer& limited = *day_.servers[0];
-  AppServer& other = *day_.servers[2];  // The whole service is in need: nobody else has room.
+  AppServer& limited = *deployment_.servers[0];
+  AppServer& other =
+      *deployment_.servers[2];  // The whole service is in need: nobody else has room.
   limited.named_limit = "5";
   other.named_limit = "5";
   press("/one/x", milliseconds(500));
@@ -123,17 +125,17 @@
   limited.named_limit.clear();
   other.named_limit.clear();
   const std::size_t before = limited.arrivals.size();
-  EXPECT_TRUE(day_.runUntil([&] {
+  EXPECT_TRUE(deployment_.runUntil([&] {
     press("/one/x", milliseconds(50));
     return limited.arrivals.size() > before + kManyMore;
   }));
 }
 
 TEST_F(ServerLimitDay, AServerThatSaysInItsAnswersThatItIsLeavingGetsNothingNew) {
-  AppServer& leaving = *day_.servers[0];
+  AppServer& leaving = *deployment_.servers[0];
   leaving.says_leaving = true;
   press("/one/x", milliseconds(500));
-  day_.runFor(kDrainTimeout);
+  deployment_.runFor(kDrainTimeout);
   const std::size_t before = leaving.arrivals.size();
   press("/one/x", milliseconds(500));
   EXPECT_EQ(leaving.arrivals.size(), before);
@@ -141,31 +143,31 @@
 
 // The proxy that starts anew beside the server takes it for ready, as its heartbeats say.
 TEST_F(ServerLimitDay, AMachineThatPassedOnThatAServerLeavesSendsItNothingWhateverItsProxySays) {
-  AppServer& leaving = *day_.servers[0];
+  AppServer& leaving = *deployment_.servers[0];
   leaving.says_leaving = true;
   std::set<int> told;
   for (int number = 0; number < 60; ++number) {
     const int machine = 1 + number % 3;
     const std::string id = "told-" + std::to_string(number);
-    if (day_.send(machine, request("/one/x", id)).says_leaving) {
+    if (deployment_.send(machine, request("/one/x", id)).says_leaving) {
       told.insert(machine);
     }
   }
   ASSERT_FALSE(told.empty());
-  day_.runFor(kDrainTimeout);
+  deployment_.runFor(kDrainTimeout);
   const std::size_t before = leaving.arrivals.size();
   const std::size_t beats = leaving.beats_acknowledged;
-  day_.proxies[0].reset();
-  day_.startProxy(0);
-  ASSERT_TRUE(day_.runUntil([&] { return leaving.beats_acknowledged > beats + 2; }));
+  deployment_.proxies[0].reset();
+  deployment_.startProxy(0);
+  ASSERT_TRUE(deployment_.runUntil([&] { return leaving.beats_acknowledged > beats + 2; }));
   for (int number = 0; number < 60; ++number) {
     for (const int machine : told) {
       const std::string id = "after-" + std::to_string(machine) + "-" + std::to_string(number);
-      EXPECT_EQ(day_.send(machine, request("/one/x", id)).status, 200) << id;
+      EXPECT_EQ(deployment_.send(machine, request("/one/x", id)).status, 200) << id;
     }
   }
   EXPECT_EQ(leaving.arrivals.size(), before);
 }
 
 }  // namespace
-}  // namespace ramppond::stand_in
+}  // namespace ramppond::fake_platform
--- a/tests/platform/tenants_day_test.cc
+++ b/tests/platform/tenants_day_test.cc
@@ -5,9 +5,9 @@
 #include <fstream>
 #include <sstream>
 
-#include "tests/platform/forwarding_day.h"
+#include "tests/platform/forwarding_fixture.h"
 
-namespace ramppond::stand_in {
+namespace ramppond::fake_platform {
 namespace {
 
 const char kKey[] = "key-of-the-council-0001";
@@ -15,16 +15,17 @@
 const char kRevocation[] = "revoke_s=1.5";
 constexpr Duration kRevocationTime = milliseconds(1500);
 
-class TenantsDay : public ForwardingDay {
+class TenantsDay : public ForwardingTest {
  protected:
   void SetUp() override {
-    day_.bounds = {"drain_timeout_s=2", "grace_s=6", "strict_revoke=true", kRevocation};
-    ForwardingDay::SetUp();
-    ASSERT_EQ(day_.put("00000002", tenantDocument("00000003", {{"council", {kKey, kOtherKey}}})),
-              200);
-    ASSERT_TRUE(day_.runUntil([this] { return everywhere(kKey, 200); }));
+    deployment_.bounds = {"drain_timeout_s=2", "grace_s=6", "strict_revoke=true", kRevocation};
+    ForwardingTest::SetUp();
+    ASSERT_EQ(
+        deployment_.put("00000002", tenantDocument("00000003", {{"council", {kKey, kOtherKey}}})),
+        200);
+    ASSERT_TRUE(deployment_.runUntil([this] { return everywhere(kKey, 200); }));
     // Before a daemon has heard of tenants, a credential is a field like any other.
-    for (const auto& server : day_.servers) {
+    for (const auto& server : deployment_.servers) {
       server->credentials_seen = 0;
     }
   }
@@ -36,7 +37,7 @@
       wanted.headers["Authorization"] = credential;
     }
     wanted.headers["Tenant"] = "forged";
-    return day_.send(machine, wanted);
+    return deployment_.send(machine, wanted);
   }
   bool everywhere(const std::string& key, int status) {
     for (int machine = 0; machine < Deployment::kServerMachines; ++machine) {
@@ -47,7 +48,7 @@
     return true;
   }
   std::string tenantSeen() {
-    for (const auto& server : day_.servers) {
+    for (const auto& server : deployment_.servers) {
       const auto found = server->tenants.find(last_id_);
       if (found != server->tenants.end()) {
         return found->second;
@@ -66,7 +67,7 @@
   EXPECT_EQ(tenantSeen(), "");
   EXPECT_EQ(sendWith(1, "Bearer nobodys", "/open/x").status, 200);
   EXPECT_EQ(tenantSeen(), "");
-  for (const auto& server : day_.servers) {
+  for (const auto& server : deployment_.servers) {
     EXPECT_EQ(server->credentials_seen, 0U);
   }
 }
@@ -80,8 +81,8 @@
     EXPECT_EQ(sendWith(0, credential).status, 401) << credential.substr(0, 40);
     EXPECT_EQ(tenantSeen(), "did not run");
   }
-  const std::string twice = day_.sendRaw(
-      day_.serverHost(0), day_.ports.clients,
+  const std::string twice = deployment_.sendRaw(
+      deployment_.serverHost(0), deployment_.ports.clients,
       "GET /one/x HTTP/1.1\r\nHost: app.example\r\nRequest-Id: twice\r\nAuthorization: Bearer " +
           std::string(kKey) + "\r\nAuthorization: Bearer " + kKey + "\r\n\r\n");
   EXPECT_EQ(twice.substr(0, 12), "HTTP/1.1 401");
@@ -89,70 +90,72 @@
 }
 
 TEST_F(TenantsDay, ARemovedKeyRunsNothingAndTheOtherGoesOn) {
-  ASSERT_EQ(day_.put("00000003", tenantDocument("00000004", {{"council", {kOtherKey}}})), 200);
-  EXPECT_TRUE(day_.runUntil([this] { return everywhere(kKey, 401); }));
+  ASSERT_EQ(deployment_.put("00000003", tenantDocument("00000004", {{"council", {kOtherKey}}})),
+            200);
+  EXPECT_TRUE(deployment_.runUntil([this] { return everywhere(kKey, 401); }));
   EXPECT_TRUE(everywhere(kOtherKey, 200));
 }
 
 TEST_F(TenantsDay, ATenantMayLoseItsLastKey) {
-  ASSERT_EQ(day_.put("00000003", tenantDocument("00000004", {{"council", {}}})), 200);
-  EXPECT_TRUE(day_.runUntil([this] { return everywhere(kKey, 401); }));
+  ASSERT_EQ(deployment_.put("00000003", tenantDocument("00000004", {{"council", {}}})), 200);
+  EXPECT_TRUE(deployment_.runUntil([this] { return everywhere(kKey, 401); }));
 }
 
 // Nothing says whether the key still holds: it runs nothing, and nobody is told that it is wrong.
 TEST_F(TenantsDay, WithoutTheControlGroupKeysLapseAndPublicRoutesGoOn) {
-  day_.control.clear();
-  day_.runFor(kRevocationTime);
+  deployment_.control.clear();
+  deployment_.runFor(kRevocationTime);
   const Answer answer = sendWith(0, std::string("Bearer ") + kKey);
   EXPECT_EQ(answer.status, 503);
   EXPECT_FALSE(answer.retry_after.empty());
   EXPECT_EQ(tenantSeen(), "did not run");
   EXPECT_EQ(sendWith(0, "Bearer nobodys").status, 503);
   EXPECT_EQ(sendWith(0, "", "/open/x").status, 200);
-  day_.startControl();
-  EXPECT_TRUE(day_.runUntil([this] { return everywhere(kKey, 200); }));
+  deployment_.startControl();
+  EXPECT_TRUE(deployment_.runUntil([this] { return everywhere(kKey, 200); }));
 }
 
 // Two of three members are gone: the one that is left cannot know that nothing was acknowledged.
 TEST_F(TenantsDay, AMemberWithoutAQuorumKeepsNoKeyAlive) {
-  day_.control[1]->signal(SIGKILL);
-  day_.control[2]->signal(SIGKILL);
-  day_.runFor(2 * kRevocationTime);
+  deployment_.control[1]->signal(SIGKILL);
+  deployment_.control[2]->signal(SIGKILL);
+  deployment_.runFor(2 * kRevocationTime);
   EXPECT_TRUE(everywhere(kKey, 503));
 }
 
 // The process stands still while its key is taken away; the request waits in its socket.
 TEST_F(TenantsDay, AFrozenDaemonDoesNotRunARemovedKeyWhenItWakes) {
-  day_.proxies[0]->signal(SIGSTOP);
-  ASSERT_EQ(day_.put("00000003", tenantDocument("00000004", {{"council", {kOtherKey}}})), 200);
-  day_.runFor(kRevocationTime);
+  deployment_.proxies[0]->signal(SIGSTOP);
+  ASSERT_EQ(deployment_.put("00000003", tenantDocument("00000004", {{"council", {kOtherKey}}})),
+            200);
+  deployment_.runFor(kRevocationTime);
   Request wanted = request("/one/x", "frozen");
   wanted.headers["Authorization"] = std::string("Bearer ") + kKey;
   int status = 0;
-  day_.sendLater(0, wanted, [&](const Answer& answer) { status = answer.status; });
-  day_.runFor(milliseconds(50));
-  day_.proxies[0]->signal(SIGCONT);
-  EXPECT_TRUE(day_.runUntil([&] { return status != 0; }));
+  deployment_.sendLater(0, wanted, [&](const Answer& answer) { status = answer.status; });
+  deployment_.runFor(milliseconds(50));
+  deployment_.proxies[0]->signal(SIGCONT);
+  EXPECT_TRUE(deployment_.runUntil([&] { return status != 0; }));
   EXPECT_TRUE(status == 503 || status == 401) << status;
   EXPECT_EQ(runsOf("frozen"), 0);
 }
 
 TEST_F(TenantsDay, ARestartedDaemonJudgesNoKeyBeforeItHasHeard) {
-  day_.control.clear();
-  day_.proxies[0]->signal(SIGKILL);
-  ASSERT_TRUE(day_.runUntil([this] { return !day_.proxies[0]->running(); }));
-  day_.startProxy(0);
-  ASSERT_TRUE(day_.runUntil([this] { return day_.readiness(0) != 0; }));
+  deployment_.control.clear();
+  deployment_.proxies[0]->signal(SIGKILL);
+  ASSERT_TRUE(deployment_.runUntil([this] { return !deployment_.proxies[0]->running(); }));
+  deployment_.startProxy(0);
+  ASSERT_TRUE(deployment_.runUntil([this] { return deployment_.readiness(0) != 0; }));
   EXPECT_EQ(sendWith(0, std::string("Bearer ") + kKey).status, 503);
   EXPECT_EQ(tenantSeen(), "did not run");
 }
 
 TEST_F(TenantsDay, ATenantBeyondItsLimitIsToldSoAndOthersAreNot) {
   constexpr int kRate = 5;
-  ASSERT_EQ(day_.put("00000003", tenantDocument("00000004", {{"council", {kKey}, kRate},
-                                                             {"grazier", {kOtherKey}}})),
+  ASSERT_EQ(deployment_.put("00000003", tenantDocument("00000004", {{"council", {kKey}, kRate},
+                                                                    {"grazier", {kOtherKey}}})),
             200);
-  ASSERT_TRUE(day_.runUntil([this] { return everywhere(kOtherKey, 200); }));
+  ASSERT_TRUE(deployment_.runUntil([this] { return everywhere(kOtherKey, 200); }));
   std::size_t limited = 0;
   constexpr int kRequests =
       400;  // At once: more than rate, burst, excess and slack allow a window.
@@ -173,13 +176,13 @@
 TEST_F(TenantsDay, NoKeyStandsInALog) {
   sendWith(0, std::string("Bearer ") + kKey, "/none/x");
   sendWith(0, "Bearer nobodys-own-key");
-  day_.put("00000003", tenantDocument("00000004", {{"a", {kKey}}, {"b", {kKey}}}));
+  deployment_.put("00000003", tenantDocument("00000004", {{"a", {kKey}}, {"b", {kKey}}}));
   std::stringstream log;
-  log << std::ifstream(day_.folder + "/log").rdbuf();
+  log << std::ifstream(deployment_.folder + "/log").rdbuf();
   EXPECT_NE(log.str().find("configuration_refused"), std::string::npos);
   EXPECT_EQ(log.str().find("key-of-the"), std::string::npos);
   EXPECT_EQ(log.str().find("nobodys-own-key"), std::string::npos);
 }
 
 }  // namespace
-}  // namespace ramppond::stand_in
+}  // namespace ramppond::fake_platform
--- a/tests/platform/unfit_servers_day_test.cc
+++ b/tests/platform/unfit_servers_day_test.cc
@@ -3,31 +3,33 @@
 
 #include <csignal>
 
-#include "tests/platform/forwarding_day.h"
+#include "tests/platform/forwarding_fixture.h"
 
-namespace ramppond::stand_in {
+namespace ramppond::fake_platform {
 namespace {
 
 // A process that stands still keeps its connections; only its silence tells.
-TEST_F(ForwardingDay, AFrozenDaemonIsLeftAndItsRequestsGoElsewhere) {
+TEST_F(ForwardingTest, AFrozenDaemonIsLeftAndItsRequestsGoElsewhere) {
   constexpr int kClients = 1;
   constexpr std::size_t kFrozen = 2;
   constexpr std::size_t kRequests = 4;
   for (int earned = 0; earned < 60; ++earned) {  // Repeats are paid for by first sends.
-    ASSERT_EQ(day_.send(kClients, request("/one/e", "earn-" + std::to_string(earned))).status, 200);
+    ASSERT_EQ(
+        deployment_.send(kClients, request("/one/e", "earn-" + std::to_string(earned))).status,
+        200);
   }
-  day_.proxies[kFrozen]->signal(SIGSTOP);
+  deployment_.proxies[kFrozen]->signal(SIGSTOP);
   std::map<std::string, Answer> answers;
   for (std::size_t number = 0; number < kRequests; ++number) {
     const std::string id = "frozen-" + std::to_string(number);
-    day_.sendLater(kClients, request("/one/f", id),
-                   [&answers, id](const Answer& answer) { answers[id] = answer; });
+    deployment_.sendLater(kClients, request("/one/f", id),
+                          [&answers, id](const Answer& answer) { answers[id] = answer; });
   }
-  EXPECT_TRUE(day_.runUntil([&] { return answers.size() == kRequests; }));
-  day_.proxies[kFrozen]->signal(SIGCONT);
+  EXPECT_TRUE(deployment_.runUntil([&] { return answers.size() == kRequests; }));
+  deployment_.proxies[kFrozen]->signal(SIGCONT);
   // The heartbeats that waited there are answered before the day ends.
-  EXPECT_EQ(day_.send(static_cast<int>(kFrozen), request("/one/a", "awake")).status, 200);
-  day_.runFor(milliseconds(300));
+  EXPECT_EQ(deployment_.send(static_cast<int>(kFrozen), request("/one/a", "awake")).status, 200);
+  deployment_.runFor(milliseconds(300));
   for (const auto& [id, answer] : answers) {
     EXPECT_EQ(answer.status, 200) << id;
   }
@@ -35,70 +37,70 @@
 
 // What may not be repeated is complete at a daemon only once there is room for it: a daemon that
 // stands still cannot have run it.
-TEST_F(ForwardingDay, WhatMayNotBeRepeatedIsNotLostWithAFrozenDaemon) {
+TEST_F(ForwardingTest, WhatMayNotBeRepeatedIsNotLostWithAFrozenDaemon) {
   constexpr int kClients = 0;
   constexpr std::size_t kFrozen = 1;
   // As many as the other server is given at a time: all may come to it at once, with no patience
   // left, when they are called back from the one that stands still.
   constexpr std::size_t kRequests = 7;
-  day_.proxies[kFrozen]->signal(SIGSTOP);
+  deployment_.proxies[kFrozen]->signal(SIGSTOP);
   std::map<std::string, Answer> answers;
   for (std::size_t number = 0; number < kRequests; ++number) {
     const std::string id = "once-" + std::to_string(number);
     Request wanted = request("/two/f", id);
     wanted.method = "POST";
     wanted.body = number % 2 == 0 ? "" : "body of " + id;
-    day_.sendLater(kClients, wanted,
-                   [&answers, id](const Answer& answer) { answers[id] = answer; });
+    deployment_.sendLater(kClients, wanted,
+                          [&answers, id](const Answer& answer) { answers[id] = answer; });
   }
-  EXPECT_TRUE(day_.runUntil([&] { return answers.size() == kRequests; }));
-  day_.proxies[kFrozen]->signal(SIGCONT);
-  EXPECT_EQ(day_.send(static_cast<int>(kFrozen), request("/one/a", "awake")).status, 200);
-  day_.runFor(milliseconds(500));
+  EXPECT_TRUE(deployment_.runUntil([&] { return answers.size() == kRequests; }));
+  deployment_.proxies[kFrozen]->signal(SIGCONT);
+  EXPECT_EQ(deployment_.send(static_cast<int>(kFrozen), request("/one/a", "awake")).status, 200);
+  deployment_.runFor(milliseconds(500));
   for (const auto& [id, answer] : answers) {
     EXPECT_EQ(answer.status, 200) << id;
     EXPECT_EQ(runsOf(id), 1) << id;
   }
 }
 
-TEST_F(ForwardingDay, ALeavingServerGetsNothingNew) {
-  day_.servers[0]->beat("draining");
-  day_.runFor(milliseconds(1500));
-  const std::size_t before = day_.servers[0]->runs.size();
+TEST_F(ForwardingTest, ALeavingServerGetsNothingNew) {
+  deployment_.servers[0]->beat("draining");
+  deployment_.runFor(milliseconds(1500));
+  const std::size_t before = deployment_.servers[0]->runs.size();
   for (int number = 0; number < 20; ++number) {
-    const Answer answer = day_.send(number % Deployment::kServerMachines,
-                                    request("/one/d", "drain-" + std::to_string(number)));
+    const Answer answer = deployment_.send(number % Deployment::kServerMachines,
+                                           request("/one/d", "drain-" + std::to_string(number)));
     EXPECT_EQ(answer.status, 200);
   }
-  EXPECT_EQ(day_.servers[0]->runs.size(), before);
+  EXPECT_EQ(deployment_.servers[0]->runs.size(), before);
 }
 
-TEST_F(ForwardingDay, ARequestWaitsShortlyForAServerThatComesBack) {
-  day_.servers[1]->beat("draining");
-  day_.servers[3]->beat("draining");
-  day_.runFor(milliseconds(1500));
+TEST_F(ForwardingTest, ARequestWaitsShortlyForAServerThatComesBack) {
+  deployment_.servers[1]->beat("draining");
+  deployment_.servers[3]->beat("draining");
+  deployment_.runFor(milliseconds(1500));
   Answer result;
   bool done = false;
-  day_.sendLater(0, request("/two/w", "wait"), [&](const Answer& answer) {
+  deployment_.sendLater(0, request("/two/w", "wait"), [&](const Answer& answer) {
     result = answer;
     done = true;
   });
-  day_.runFor(milliseconds(20));
-  day_.servers[1]->beat("ready");
-  EXPECT_TRUE(day_.runUntil([&] { return done; }));
+  deployment_.runFor(milliseconds(20));
+  deployment_.servers[1]->beat("ready");
+  EXPECT_TRUE(deployment_.runUntil([&] { return done; }));
   EXPECT_EQ(result.status, 200);
   EXPECT_EQ(runsOf("wait"), 1);
 }
 
-TEST_F(ForwardingDay, WithoutAServerTheRequestIsNotRunAndTheClientIsToldWhenToComeBack) {
+TEST_F(ForwardingTest, WithoutAServerTheRequestIsNotRunAndTheClientIsToldWhenToComeBack) {
   for (const std::size_t machine : {std::size_t{1}, std::size_t{3}}) {
-    day_.servers[machine]->beat("draining");
+    deployment_.servers[machine]->beat("draining");
   }
-  day_.runFor(milliseconds(1500));
+  deployment_.runFor(milliseconds(1500));
   Request wanted = request("/two/n", "none");
   wanted.method = "POST";
   wanted.body = "x";
-  const Answer answer = day_.send(0, wanted);
+  const Answer answer = deployment_.send(0, wanted);
   EXPECT_EQ(answer.status, 503);
   EXPECT_FALSE(answer.retry_after.empty());
   EXPECT_EQ(answer.request_id, "none");
@@ -106,4 +108,4 @@
 }
 
 }  // namespace
-}  // namespace ramppond::stand_in
+}  // namespace ramppond::fake_platform
