--- a/control/coordinator/coordinator_process.cc
+++ b/control/coordinator/coordinator_process.cc
@@ -76,7 +76,7 @@
       settings_.first_start ? firstIdentity(settings_.member_address.toString()) : randomNumber64();
   storage_ = std::make_unique<RaftStorage>(files_);
   const auto error = storage_->open(fresh);
-  if (error && !storage_->mayOpenLater()) {
+  if (error && !storage_->canRetryOpen()) {
     return settings_.data_folder + "/" + *error;
   }
   if (error) {
--- a/storage/file_system.cc
+++ b/storage/file_system.cc
@@ -14,7 +14,7 @@
 namespace ramppond {
 namespace {
 
-// The operator's document holds keys of tenants.
+// Only the owner may access the files: the operator's document contains API keys of tenants.
 constexpr mode_t kFileMode = 0600;
 
 bool writeAll(int descriptor, const std::string& bytes) {
--- a/storage/file_system.h
+++ b/storage/file_system.h
@@ -1,5 +1,5 @@
-// The few file operations that the storage needs, so that tests and the simulator can crash between
-// any two of them.
+// The file operations that RaftStorage needs, behind an interface so that tests and the simulator
+// can inject a crash between any two of them. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -8,14 +8,15 @@
 
 namespace ramppond {
 
-/// Files of one data folder, by plain name. Every operation returns false on an error, after
-/// which the caller must stop: what is on disk is no longer known.
+/// The files of one data folder, addressed by plain name. Every operation returns false on an
+/// error. The caller must then stop using the files, because the contents on disk are no longer
+/// known.
 class FileSystem {
  public:
   virtual ~FileSystem() = default;
-  /// The whole file; nothing if there is none.
+  /// Returns the contents of the file, or std::nullopt if it does not exist.
   virtual std::optional<std::string> read(const std::string& name) = 0;
-  /// Creates or empties the file and writes `bytes`.
+  /// Creates the file or truncates it to zero bytes, then writes `bytes`.
   virtual bool write(const std::string& name, const std::string& bytes) = 0;
   virtual bool append(const std::string& name, const std::string& bytes) = 0;
   virtual bool truncate(const std::string& name, std::size_t size) = 0;
@@ -26,16 +27,18 @@
   virtual bool syncFolder() = 0;
 };
 
-/// Replaces a file so that a crash leaves either the old or the new contents: write, fsync,
-/// rename, fsync of the folder.
+/// Replaces a file atomically: after a crash it has either the old or the new contents. Writes a
+/// temporary file, syncs it, renames it and syncs the folder.
 bool replaceFile(FileSystem& files, const std::string& name, const std::string& bytes);
 
-/// Files of a real folder, which is created if it is missing.
+/// Implements FileSystem on a folder of the operating system. Holds a lock on the folder, so that
+/// two processes never share it.
 class PosixFileSystem : public FileSystem {
  public:
   explicit PosixFileSystem(std::string folder);
   ~PosixFileSystem() override;
-  /// Why the folder cannot be used, if it cannot.
+  /// Creates the folder if it is missing and locks it. Returns the reason on failure, else
+  /// std::nullopt.
   std::optional<std::string> prepare();
 
   std::optional<std::string> read(const std::string& name) override;
--- a/storage/raft_storage.cc
+++ b/storage/raft_storage.cc
@@ -13,7 +13,7 @@
 constexpr char kLogFile[] = "log";
 constexpr std::size_t kLengthBytes = 4;
 constexpr std::size_t kChecksumBytes = 8;
-constexpr std::size_t kRecordHead = kLengthBytes + kChecksumBytes;
+constexpr std::size_t kRecordHeaderBytes = kLengthBytes + kChecksumBytes;
 
 struct Identity {
   NodeId id = 0;
@@ -39,47 +39,47 @@
   return value;
 }
 
-enum class RecordState { kWhole, kTorn, kDamaged };
+enum class RecordState { kIntact, kTorn, kDamaged };
 
-struct ReadRecord {
+struct DecodedRecord {
   RecordState state = RecordState::kTorn;
   std::string payload;
   std::size_t end = 0;
 };
 
-ReadRecord readRecord(const std::string& bytes, std::size_t offset) {
-  ReadRecord record;
-  if (bytes.size() - offset < kRecordHead) {
+DecodedRecord decodeRecord(const std::string& bytes, std::size_t offset) {
+  DecodedRecord record;
+  if (bytes.size() - offset < kRecordHeaderBytes) {
     return record;
   }
   const std::size_t length = littleEndian(bytes, offset, kLengthBytes);
   const std::uint64_t checksum = littleEndian(bytes, offset + kLengthBytes, kChecksumBytes);
-  if (length > bytes.size() - offset - kRecordHead) {
+  if (length > bytes.size() - offset - kRecordHeaderBytes) {
     return record;
   }
-  record.payload = bytes.substr(offset + kRecordHead, length);
-  record.end = offset + kRecordHead + length;
+  record.payload = bytes.substr(offset + kRecordHeaderBytes, length);
+  record.end = offset + kRecordHeaderBytes + length;
   const bool whole = XXH3_64bits(record.payload.data(), length) == checksum && length > 0;
-  record.state = whole ? RecordState::kWhole : RecordState::kDamaged;
+  record.state = whole ? RecordState::kIntact : RecordState::kDamaged;
   return record;
 }
 
-// Whether a whole record of a log entry starts anywhere behind `from`: then what precedes it is
-// damage and not the torn end of the file.
-bool wholeEntryBehind(const std::string& bytes, std::size_t from) {
-  for (std::size_t offset = from; offset + kRecordHead < bytes.size(); ++offset) {
-    const ReadRecord record = readRecord(bytes, offset);
-    if (record.state == RecordState::kWhole && decode<LogEntry>(record.payload)) {
+// Returns whether an intact record of a log entry starts at `from` or later. If so, an unreadable
+// record before it is damage and not a torn tail.
+bool hasIntactEntryAfter(const std::string& bytes, std::size_t from) {
+  for (std::size_t offset = from; offset + kRecordHeaderBytes < bytes.size(); ++offset) {
+    const DecodedRecord record = decodeRecord(bytes, offset);
+    if (record.state == RecordState::kIntact && decode<LogEntry>(record.payload)) {
       return true;
     }
   }
   return false;
 }
 
-// A record that could not be read is the torn end of the file, and not damage, if nothing whole
-// follows and either its bytes or the tail of its blocks were never written.
-bool isTornEnd(const std::string& bytes, std::size_t offset, const ReadRecord& record) {
-  if (wholeEntryBehind(bytes, offset + 1)) {
+// Returns whether the unreadable `record` at `offset` is a torn tail and not damage: no intact
+// record follows, and the record is incomplete or its last blocks were never written.
+bool isTornTail(const std::string& bytes, std::size_t offset, const DecodedRecord& record) {
+  if (hasIntactEntryAfter(bytes, offset + 1)) {
     return false;
   }
   if (record.state == RecordState::kTorn) {
@@ -90,8 +90,8 @@
 }
 
 template <class T>
-std::optional<std::string> readWholeFile(FileSystem& files, const char* name,
-                                         std::optional<T>& value, std::size_t* size = nullptr) {
+std::optional<std::string> readRecordFile(FileSystem& files, const char* name,
+                                          std::optional<T>& value, std::size_t* size = nullptr) {
   const auto bytes = files.read(name);
   if (!bytes) {
     return std::nullopt;
@@ -99,8 +99,8 @@
   if (size != nullptr) {
     *size = bytes->size();
   }
-  const ReadRecord record = readRecord(*bytes, 0);
-  if (record.state == RecordState::kWhole && record.end == bytes->size()) {
+  const DecodedRecord record = decodeRecord(*bytes, 0);
+  if (record.state == RecordState::kIntact && record.end == bytes->size()) {
     value = decode<T>(record.payload);
   }
   if (!value) {
@@ -130,11 +130,11 @@
     return error;
   }
   std::optional<HardState> hard_state;
-  if (auto error = readWholeFile(files_, kHardStateFile, hard_state)) {
+  if (auto error = readRecordFile(files_, kHardStateFile, hard_state)) {
     return error;
   }
   std::optional<Snapshot> snapshot;
-  if (auto error = readWholeFile(files_, kSnapshotFile, snapshot, &snapshot_bytes_)) {
+  if (auto error = readRecordFile(files_, kSnapshotFile, snapshot, &snapshot_bytes_)) {
     return error;
   }
   recovery_.hard_state = hard_state.value_or(HardState{});
@@ -142,27 +142,27 @@
   if (auto error = openLog()) {
     return error;
   }
-  return syncFound();
+  return syncRecoveredFiles();
 }
 
-std::optional<std::string> RaftStorage::syncFound() {
+std::optional<std::string> RaftStorage::syncRecoveredFiles() {
   if (log_bytes_ > 0 && !files_.sync(kLogFile)) {
-    return refused(kLogFile, "cannot be synced");
+    return writeFailure(kLogFile, "cannot be synced");
   }
   if (!files_.syncFolder()) {
-    return refused("data folder", "cannot be synced");
+    return writeFailure("data folder", "cannot be synced");
   }
   return std::nullopt;
 }
 
-std::string RaftStorage::refused(const char* file, const char* what) {
-  writes_refused_ = true;
+std::string RaftStorage::writeFailure(const char* file, const char* what) {
+  write_failed_ = true;
   return std::string(file) + ": " + what;
 }
 
 std::optional<std::string> RaftStorage::openIdentity(NodeId fresh_id) {
   std::optional<Identity> identity;
-  if (auto error = readWholeFile(files_, kIdentityFile, identity)) {
+  if (auto error = readRecordFile(files_, kIdentityFile, identity)) {
     return error;
   }
   if (identity) {
@@ -178,7 +178,7 @@
   }
   id_ = fresh_id;
   if (!replaceRecord(files_, kIdentityFile, Identity{fresh_id})) {
-    return refused(kIdentityFile, "cannot be written");
+    return writeFailure(kIdentityFile, "cannot be written");
   }
   return std::nullopt;
 }
@@ -188,14 +188,14 @@
   std::size_t offset = 0;
   std::vector<LogEntry> entries;
   while (offset < bytes.size()) {
-    const ReadRecord record = readRecord(bytes, offset);
+    const DecodedRecord record = decodeRecord(bytes, offset);
     std::optional<LogEntry> entry;
-    if (record.state == RecordState::kWhole) {
+    if (record.state == RecordState::kIntact) {
       entry = decode<LogEntry>(record.payload);
     }
     const bool in_order = entry && (entries.empty() || entry->index == entries.back().index + 1);
     if (!in_order) {
-      if (record.state != RecordState::kWhole && isTornEnd(bytes, offset, record)) {
+      if (record.state != RecordState::kIntact && isTornTail(bytes, offset, record)) {
         break;
       }
       return std::string(kLogFile) + ": damaged at byte " + std::to_string(offset) + " of " +
@@ -207,18 +207,19 @@
   }
   log_bytes_ = offset;
   if (offset < bytes.size() && !(files_.truncate(kLogFile, offset) && files_.sync(kLogFile))) {
-    return refused(kLogFile, "cannot cut the torn end");
+    return writeFailure(kLogFile, "cannot truncate the torn record");
   }
   first_index_ = entries.empty() ? recovery_.snapshot.index + 1 : entries.front().index;
   if (first_index_ > recovery_.snapshot.index + 1) {
     return std::string(kLogFile) + ": entries after the snapshot are missing";
   }
-  return takeEntries(std::move(entries));
+  return recoverEntries(std::move(entries));
 }
 
-// Keeps the entries that follow the snapshot. A crash between writing a snapshot and cutting the
-// log leaves older entries, which go now, and those that contradict the snapshot with them.
-std::optional<std::string> RaftStorage::takeEntries(std::vector<LogEntry> entries) {
+// Recovers the entries after the snapshot. A crash between replacing the snapshot and rewriting the
+// log leaves entries that the snapshot covers; these are dropped, and so are all entries of a log
+// that conflicts with the snapshot.
+std::optional<std::string> RaftStorage::recoverEntries(std::vector<LogEntry> entries) {
   const Snapshot& snapshot = recovery_.snapshot;
   const bool overlaps = !entries.empty() && entries.front().index <= snapshot.index;
   bool contradicts = overlaps && entries.back().index < snapshot.index;
@@ -232,7 +233,7 @@
     offsets_.clear();
   }
   if (overlaps && !rewriteLog(snapshot.index)) {
-    return refused(kLogFile, "cannot be rewritten behind the snapshot");
+    return writeFailure(kLogFile, "cannot be rewritten after the snapshot");
   }
   return std::nullopt;
 }
@@ -242,7 +243,7 @@
     return false;
   }
   if (ready.install_snapshot) {
-    offsets_.clear();  // The leader's snapshot replaces whatever the log held.
+    offsets_.clear();  // The leader's snapshot replaces the whole log.
     if (!saveSnapshot(*ready.install_snapshot)) {
       return false;
     }
@@ -289,7 +290,8 @@
   return replaceFile(files_, kSnapshotFile, bytes) && rewriteLog(snapshot.index);
 }
 
-// Keeps the records after index `after`. A snapshot that the log does not reach replaces it whole.
+// Rewrites the log file with only the records after index `after`. The log becomes empty if it does
+// not reach that index.
 bool RaftStorage::rewriteLog(LogIndex after) {
   const LogIndex last = first_index_ + offsets_.size();  // One past the last record.
   std::string kept;
--- a/storage/raft_storage.h
+++ b/storage/raft_storage.h
@@ -1,20 +1,22 @@
-// What a control member keeps on disk, and how it is found again.
+// Durable Raft state of a control member: writing it, and recovering it at a start.
 //
 // Files of the data folder:
-//   identity    one record: the member's NodeId, drawn when the folder was empty
+//   identity    one record: the member's NodeId, generated when the folder was empty
 //   hard_state  one record: HardState; replaced as a whole
 //   snapshot    one record: Snapshot; replaced as a whole
-//   log         records of LogEntry, one after another, appended to
+//   log         records of LogEntry in index order, append-only
 // A record is
 //   4 bytes  length of the payload, little endian
 //   8 bytes  XXH3-64 of the payload, little endian
 //   n bytes  payload: the CBOR of the struct
-// A crash while appending leaves a torn last record: it ends before its length says, or from some
-// byte on holds only zeros (blocks never written). That record was never acknowledged and is cut.
-// Any other mismatch is damage to acknowledged data: the member refuses to start rather than guess,
-// and must be wiped and added anew (docs/OPERATIONS.md).
-// A start makes durable what it found: an earlier process may have been killed before its sync, and
-// whatever a start has read counts as stored.
+// A crash during an append leaves a torn last record: it is shorter than its length field says, or
+// it ends in zeros because the last blocks were never written. Such a record was never acknowledged
+// and is truncated. Any other mismatch means that acknowledged data is damaged. The member then
+// refuses to start; its data folder must be wiped and the member added again (docs/OPERATIONS.md).
+// open() syncs everything that it has read. An earlier process may have been killed between a write
+// and its sync, and the member may acknowledge recovered data without writing it again.
+//
+// Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -31,18 +33,20 @@
  public:
   explicit RaftStorage(FileSystem& files) : files_(files) {}
 
-  /// Reads everything. Returns why the member must not start, or nothing. `fresh_id` becomes the
-  /// identity if the folder has none; not zero.
+  /// Reads all files and syncs them. Returns the reason if the member must not start, else
+  /// std::nullopt. `fresh_id` becomes the identity if the folder has none; it must not be zero.
   std::optional<std::string> open(NodeId fresh_id);
-  /// After open() has failed: whether the disk only took no writes, so that a new storage on the
-  /// same files may open later.
-  [[nodiscard]] bool mayOpenLater() const { return writes_refused_; }
+  /// After open() has failed: true if the only fault was a failed write or sync, so that a new
+  /// RaftStorage on the same files may succeed later. False if the data is damaged.
+  [[nodiscard]] bool canRetryOpen() const { return write_failed_; }
   [[nodiscard]] NodeId id() const { return id_; }
+  /// Moves out the state that open() has recovered.
   RaftRecovery takeRecovery() { return std::move(recovery_); }
 
-  /// Makes one RaftReady durable, with one sync of the log at the most. False: stop at once.
+  /// Makes one RaftReady durable, with at most one sync of the log. On false the caller must stop
+  /// at once: the contents on disk are unknown.
   bool persist(const RaftReady& ready);
-  /// Keeps a snapshot and drops the log up to it.
+  /// Replaces the snapshot and drops the log entries that it covers. Returns false like persist().
   bool saveSnapshot(const Snapshot& snapshot);
 
   [[nodiscard]] std::size_t logBytes() const { return log_bytes_; }
@@ -52,10 +56,10 @@
  private:
   std::optional<std::string> openIdentity(NodeId fresh_id);
   std::optional<std::string> openLog();
-  std::optional<std::string> takeEntries(std::vector<LogEntry> entries);
-  std::optional<std::string> syncFound();
-  /// Notes that the disk takes no writes; gives the reason.
-  std::string refused(const char* file, const char* what);
+  std::optional<std::string> recoverEntries(std::vector<LogEntry> entries);
+  std::optional<std::string> syncRecoveredFiles();
+  /// Sets `write_failed_` and returns the reason.
+  std::string writeFailure(const char* file, const char* what);
   bool truncateFrom(LogIndex index);
   bool appendEntries(const std::vector<LogEntry>& entries);
   bool rewriteLog(LogIndex after);
@@ -63,15 +67,15 @@
   FileSystem& files_;
   NodeId id_ = 0;
   RaftRecovery recovery_;
-  LogIndex first_index_ = 1;          ///< Of the first record in the log file.
-  std::vector<std::size_t> offsets_;  ///< Where each record of the log starts.
+  LogIndex first_index_ = 1;          ///< Index of the first record in the log file.
+  std::vector<std::size_t> offsets_;  ///< Byte offset of each record in the log file.
   std::size_t log_bytes_ = 0;
   std::size_t snapshot_bytes_ = 0;
   std::uint64_t syncs_ = 0;
-  bool writes_refused_ = false;
+  bool write_failed_ = false;
 };
 
-/// The bytes of one record.
+/// Returns the bytes of one record, header included.
 std::string encodeRecord(const std::string& payload);
 
 }  // namespace ramppond
--- a/tests/storage/file_system_test.cc
+++ b/tests/storage/file_system_test.cc
@@ -9,8 +9,8 @@
 namespace ramppond {
 namespace {
 
-// What an operator put holds keys of tenants.
-TEST(PosixFileSystem, OnlyTheOwnerMayReadItsFiles) {
+// The stored configuration document contains API keys of tenants.
+TEST(PosixFileSystem, CreatesFilesReadableByTheOwnerOnly) {
   std::string pattern = (std::filesystem::temp_directory_path() / "ramppond-XXXXXX").string();
   const std::string folder = ::mkdtemp(pattern.data());
   PosixFileSystem files(folder);
--- a/tests/storage/raft_storage_test.cc
+++ b/tests/storage/raft_storage_test.cc
@@ -9,7 +9,7 @@
 namespace ramppond {
 namespace {
 
-constexpr NodeId kFresh = 11;
+constexpr NodeId kFreshId = 11;
 
 LogEntry entryAt(LogIndex index, const std::string& payload = "payload") {
   LogEntry entry;
@@ -32,7 +32,7 @@
  protected:
   std::optional<std::string> reopen() {
     storage_ = std::make_unique<RaftStorage>(files_);
-    auto error = storage_->open(kFresh + 1);
+    auto error = storage_->open(kFreshId + 1);
     recovery_ = storage_->takeRecovery();
     return error;
   }
@@ -46,7 +46,7 @@
   RaftRecovery recovery_;
 };
 
-TEST_F(RaftStorageTest, KeepsItsIdentityAndAnEmptyFolderDrawsAnother) {
+TEST_F(RaftStorageTest, KeepsIdentityAcrossReopenAndTakesFreshIdInEmptyFolder) {
   ASSERT_FALSE(storage_ == nullptr ? reopen() : std::nullopt);
   const NodeId first = storage_->id();
   ASSERT_FALSE(reopen());
@@ -57,7 +57,7 @@
   EXPECT_EQ(storage_->id(), 999U);
 }
 
-TEST_F(RaftStorageTest, FindsEverythingAgain) {
+TEST_F(RaftStorageTest, RecoversPersistedStateAfterCrash) {
   ASSERT_FALSE(reopen());
   RaftReady ready = appendOf(1, 5);
   ready.hard_state = HardState{7, 3, 11};
@@ -73,7 +73,7 @@
   EXPECT_EQ(recovery_.entries.back().payload, "other4");
 }
 
-TEST_F(RaftStorageTest, ATornTailIsCut) {
+TEST_F(RaftStorageTest, TruncatesTornTail) {
   fill(3);
   std::string bytes = *files_.read("log");
   const std::string extra = encodeRecord(encode(entryAt(4)));
@@ -89,15 +89,15 @@
   EXPECT_EQ(recovery_.entries.size(), 3U);
 }
 
-// A process that is killed between its write and its sync leaves what it never acknowledged. Its
-// next start counts that as stored and may acknowledge it: power that is lost then must not take it
-// back.
-TEST(RaftStorageReopened, WhatAStartFoundSurvivesALossOfPower) {
+// A process that is killed between a write and its sync leaves data that was never acknowledged.
+// The next start may acknowledge that data, so open() must sync it: a power loss right after open()
+// must not lose it.
+TEST(RaftStorageReopened, RecoveredDataSurvivesPowerLossAfterOpen) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     MemoryFileSystem files(seed);
     {
       RaftStorage storage(files);
-      ASSERT_FALSE(storage.open(kFresh));
+      ASSERT_FALSE(storage.open(kFreshId));
       RaftReady ready = appendOf(1, 3);
       ready.hard_state = HardState{7, 3, 11};
       ASSERT_TRUE(storage.persist(ready));
@@ -107,37 +107,37 @@
     ASSERT_TRUE(files.sync("hard_state.new"));
     ASSERT_TRUE(files.rename("hard_state.new", "hard_state"));
     RaftStorage found(files);
-    ASSERT_FALSE(found.open(kFresh + 1));
+    ASSERT_FALSE(found.open(kFreshId + 1));
     const RaftRecovery before = found.takeRecovery();
     ASSERT_EQ(before.entries.size(), 4U);
     ASSERT_EQ(before.hard_state.term, 4U);
     files.crash();
     RaftStorage after(files);
-    ASSERT_FALSE(after.open(kFresh + 1)) << "seed " << seed;
+    ASSERT_FALSE(after.open(kFreshId + 1)) << "seed " << seed;
     const RaftRecovery recovery = after.takeRecovery();
     EXPECT_EQ(recovery.entries.size(), 4U) << "seed " << seed;
     EXPECT_EQ(recovery.hard_state.term, 4U) << "seed " << seed;
   }
 }
 
-// A disk that takes no writes at one moment may take them at the next; damage stays.
-TEST(RaftStorageReopened, ADiskThatTakesNoWritesIsToldFromADamagedOne) {
+// Failed writes may succeed later; damage is permanent.
+TEST(RaftStorageReopened, ReportsFailedWritesAsRetryableAndDamageAsPermanent) {
   MemoryFileSystem files(1);
   files.failAfter(0);
-  RaftStorage refused(files);
-  EXPECT_TRUE(refused.open(kFresh));
-  EXPECT_TRUE(refused.mayOpenLater());
+  RaftStorage unwritable(files);
+  EXPECT_TRUE(unwritable.open(kFreshId));
+  EXPECT_TRUE(unwritable.canRetryOpen());
   files.wipe();
   RaftStorage fresh(files);
-  ASSERT_FALSE(fresh.open(kFresh));
-  EXPECT_FALSE(fresh.mayOpenLater());
+  ASSERT_FALSE(fresh.open(kFreshId));
+  EXPECT_FALSE(fresh.canRetryOpen());
   files.flipByte("identity", 14);
   RaftStorage damaged(files);
-  EXPECT_TRUE(damaged.open(kFresh));
-  EXPECT_FALSE(damaged.mayOpenLater());
+  EXPECT_TRUE(damaged.open(kFreshId));
+  EXPECT_FALSE(damaged.canRetryOpen());
 }
 
-TEST_F(RaftStorageTest, AFlippedByteInTheMiddleIsRefusedAndNothingIsInvented) {
+TEST_F(RaftStorageTest, RefusesToOpenLogWithFlippedByteBeforeLastRecord) {
   fill(4);
   const std::size_t size = files_.sizeOf("log");
   const std::size_t last_record = encodeRecord(encode(entryAt(4))).size();
@@ -152,7 +152,7 @@
   }
 }
 
-TEST_F(RaftStorageTest, DamagedWholeFilesAreRefusedByName) {
+TEST_F(RaftStorageTest, NamesDamagedFileInError) {
   ASSERT_FALSE(reopen());
   RaftReady ready;
   ready.hard_state = HardState{7, 3, 11};
@@ -166,14 +166,14 @@
   }
 }
 
-TEST_F(RaftStorageTest, StateWithoutAnIdentityIsRefused) {
+TEST_F(RaftStorageTest, RefusesToOpenStateWithoutIdentity) {
   files_.write("log", encodeRecord(encode(entryAt(1))));
   const auto error = reopen();
   ASSERT_TRUE(error);
   EXPECT_NE(error->find("identity"), std::string::npos);
 }
 
-TEST_F(RaftStorageTest, ASnapshotDropsTheLogBeforeIt) {
+TEST_F(RaftStorageTest, SnapshotDropsLogEntriesItCovers) {
   fill(10);
   Snapshot snapshot;
   snapshot.index = 6;
@@ -187,9 +187,9 @@
   EXPECT_EQ(recovery_.entries.front().index, 7U);
 }
 
-// Power is lost at every operation in turn. What was acknowledged must be there, nothing else
-// than what was handed over may be, and the storage must start again.
-TEST(RaftStorageCrash, EveryCrashPointKeepsWhatWasAcknowledged) {
+// Injects a power loss at each file operation in turn. Afterwards open() must succeed, recover all
+// acknowledged entries and recover no entry that was never passed to persist().
+TEST(RaftStorageCrash, KeepsAcknowledgedEntriesAtEveryCrashPoint) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     for (std::uint64_t crash_at = 0; crash_at < 45; ++crash_at) {
       MemoryFileSystem files(seed * 1000 + crash_at);
@@ -199,7 +199,7 @@
       NodeId identity = 0;
       {
         RaftStorage storage(files);
-        bool working = !storage.open(kFresh);
+        bool working = !storage.open(kFreshId);
         identity = working ? storage.id() : 0;
         storage.takeRecovery();
         for (LogIndex index = 1; working && index <= 9; ++index) {
@@ -217,7 +217,7 @@
       }
       files.crash();
       RaftStorage storage(files);
-      const auto error = storage.open(kFresh + 1);
+      const auto error = storage.open(kFreshId + 1);
       ASSERT_FALSE(error) << "seed " << seed << " crash at " << crash_at << ": " << *error;
       ASSERT_TRUE(identity == 0 || storage.id() == identity);
       const RaftRecovery recovery = storage.takeRecovery();
@@ -232,15 +232,15 @@
   }
 }
 
-TEST(RaftStorageFuzz, RandomFilesNeverCrashTheReader) {
+TEST(RaftStorageFuzz, OpenDoesNotCrashOnRandomFiles) {
   EXPECT_TRUE(rc::check([](const std::string& log, const std::string& state) {
     MemoryFileSystem files(1);
     RaftStorage fresh(files);
-    RC_ASSERT(!fresh.open(kFresh));
+    RC_ASSERT(!fresh.open(kFreshId));
     files.write("log", log);
     files.write("hard_state", state);
     RaftStorage storage(files);
-    static_cast<void>(storage.open(kFresh));
+    static_cast<void>(storage.open(kFreshId));
   }));
 }
 
