--- a/tests/platform/crashing_requests_day_test.cc
+++ b/tests/platform/crashing_requests_test.cc
@@ -1,14 +1,12 @@
 // Requests that crash the servers that run them, with real processes.
 //
-// What users saw: all servers of one service crashed within half a second, were back after three
-// seconds, and crashed again, for 43 s. The other services went on.
-// Order of events: one request crashed the server that ran it; its proxy retried it at the next
-// server, as after any lost connection, and the client sent it again with another id at another
-// proxy; three servers crashed; each was met by the same request when it was back.
-// Cause: the crash of a server was held against the server only. Nothing knew a request again, so
-// nothing was learned from the servers that it had crashed, on one proxy or on many.
-// Evidence: at each crash the requests under way lost their connections within 2 ms, at 15 to 34 of
-// 133 slots in calm load; the same method, path, body and caller was under way at 15 crashes in a
+// Guards against one request that crashes all servers of a service again and again. In an incident
+// all servers of a service crashed within 0.5 s, were back after 3 s and crashed again, for 43 s;
+// other services were not affected. The proxy retried the request at the next server, as after any
+// lost connection, and the client sent it again with a new id through another proxy. Crashes were
+// attributed only to the server, and no proxy recognized the request. The evidence was there: at
+// each crash all requests in flight lost their connections within 2 ms, at 15 to 34 of 133 slots
+// under normal load, and the same method, path, body and caller was in flight at 15 crashes in a
 // row.
 #include <gtest/gtest.h>
 
@@ -17,9 +15,9 @@
 namespace ramppond::fake_platform {
 namespace {
 
-constexpr char kHarmful[] = "/one/harmful";
+constexpr char kCrashingTarget[] = "/one/harmful";
 
-class CrashingRequestsDay : public ForwardingTest {
+class CrashingRequestsTest : public ForwardingTest {
  protected:
   void SetUp() override {
     ForwardingTest::SetUp();
@@ -34,20 +32,20 @@
     }
     return all;
   }
-  /// Some machine's request for the service is served.
+  /// Sends a request from one of the machines; returns whether it is served.
   bool serves(const std::string& target) {
     const std::string id = "beside-" + std::to_string(next_++);
     return deployment_
                .send(static_cast<int>(next_ % Deployment::kServerMachines), request(target, id))
                .status == 200;
   }
-  /// The request is sent until it is refused without a run, twice in a row.
-  bool block() {
+  /// Sends the crashing request until it is refused without a run twice in a row.
+  bool blockCrashingRequest() {
     int refused = 0;
     return deployment_.runUntil([&] {
       const std::size_t before = crashes();
       const Answer answer =
-          deployment_.send(0, request(kHarmful, "harmful-" + std::to_string(next_++)));
+          deployment_.send(0, request(kCrashingTarget, "harmful-" + std::to_string(next_++)));
       const bool blocked = answer.status == 503 && !answer.retry_after.empty() &&
                            crashes() == before && serves("/one/beside");
       refused = blocked ? refused + 1 : 0;
@@ -56,31 +54,32 @@
   }
 };
 
-// Each time the service is back the same request comes, with a new id and at another proxy.
-TEST_F(CrashingRequestsDay, ARequestThatCrashedThreeServersIsKnownAgain) {
-  // Three crashes prove it; the report of the third may cross as many sends, but not more.
-  constexpr std::size_t kMostCrashes = 6;
-  constexpr int kTries = 16;
+// The same request arrives each time the service is back, with a new id and through another proxy.
+TEST_F(CrashingRequestsTest, RequestIsBlockedAfterThreeCrashes) {
+  // Three crashes are sufficient evidence. Up to three more attempts may be sent before the report
+  // of the third crash arrives.
+  constexpr std::size_t kMaxCrashes = 6;
+  constexpr int kAttempts = 16;
   Answer last;
-  for (int number = 0; number < kTries; ++number) {
+  for (int number = 0; number < kAttempts; ++number) {
     ASSERT_TRUE(deployment_.runUntil([this] { return serves("/one/beside"); }));
     last = deployment_.send(number % Deployment::kServerMachines,
-                            request(kHarmful, "harmful-" + std::to_string(number)));
+                            request(kCrashingTarget, "harmful-" + std::to_string(number)));
   }
   RecordProperty("crashes", static_cast<int>(crashes()));
-  EXPECT_LE(crashes(), kMostCrashes);
+  EXPECT_LE(crashes(), kMaxCrashes);
   EXPECT_GE(crashes(), 1U);
   EXPECT_EQ(last.status, 503);
   EXPECT_TRUE(deployment_.runUntil([this] { return allServe("/one/beside"); }));
 }
 
-// Those under way beside it run isolated at another server, one after the other, and are served.
-TEST_F(CrashingRequestsDay, WhatWasUnderWayAtOneCrashIsServedByAnother) {
+// Requests that were in flight at a crash are retried isolated, one at a time, at another server.
+TEST_F(CrashingRequestsTest, RequestsInFlightAtCrashAreServedByAnotherServer) {
   constexpr int kClients = 1;
   constexpr std::size_t kRequests = 8;
-  for (int earned = 0; earned < 80; ++earned) {  // Retries are paid for by first sends.
+  for (int warmup = 0; warmup < 80; ++warmup) {  // First attempts fill the retry budget.
     ASSERT_EQ(
-        deployment_.send(kClients, request("/one/e", "earn-" + std::to_string(earned))).status,
+        deployment_.send(kClients, request("/one/e", "earn-" + std::to_string(warmup))).status,
         200);
   }
   for (const auto& server : deployment_.servers) {
@@ -100,10 +99,10 @@
   }
 }
 
-// The refusal is true, says when it ends, and concerns nothing else.
-TEST_F(CrashingRequestsDay, ABlockedRequestIsRefusedAsNotRunAndAllOthersAreServed) {
-  ASSERT_TRUE(block());
-  Request wanted = request(kHarmful, "barred");
+// The refused request did not run, its answer has Retry-After, and other requests are not affected.
+TEST_F(CrashingRequestsTest, BlockedRequestIsRefusedAsNotRunAndOthersAreServed) {
+  ASSERT_TRUE(blockCrashingRequest());
+  Request wanted = request(kCrashingTarget, "barred");
   const std::size_t before = crashes();
   const Answer answer = deployment_.send(1, wanted);
   EXPECT_EQ(answer.status, 503);
@@ -118,9 +117,9 @@
   }
 }
 
-// What a proxy knows is gone with its process; the others report it again.
-TEST_F(CrashingRequestsDay, AProxyThatStartsAnewLearnsWhatIsBlocked) {
-  ASSERT_TRUE(block());
+// A restarted proxy has lost its list of blocked requests; the other proxies report them again.
+TEST_F(CrashingRequestsTest, RestartedProxyLearnsBlockedRequests) {
+  ASSERT_TRUE(blockCrashingRequest());
   for (const std::size_t machine : {std::size_t{0}, std::size_t{2}}) {
     deployment_.proxies[machine].reset();
     deployment_.startProxy(static_cast<int>(machine));
@@ -128,25 +127,26 @@
   }
   const std::size_t before = crashes();
   for (int number = 0; number < 8; ++number) {
-    const Answer answer = deployment_.send(number % Deployment::kServerMachines,
-                                           request(kHarmful, "again-" + std::to_string(number)));
+    const Answer answer =
+        deployment_.send(number % Deployment::kServerMachines,
+                         request(kCrashingTarget, "again-" + std::to_string(number)));
     EXPECT_EQ(answer.status, 503);
   }
   EXPECT_EQ(crashes(), before);
 }
 
-// Every process is killed at the same moment, and nobody is left to report.
-TEST_F(CrashingRequestsDay, WhatIsBlockedIsKnownAfterTheCrashOfAllProcesses) {
-  ASSERT_TRUE(block());
+// All processes are killed at once, so no process holds the list in memory.
+TEST_F(CrashingRequestsTest, BlockedRequestsSurviveCrashOfAllProcesses) {
+  ASSERT_TRUE(blockCrashingRequest());
   deployment_.runFor(
-      milliseconds(500));  // The record of the last crash is with the control group by then.
+      milliseconds(500));  // By then the control group has stored the record of the last crash.
   deployment_.proxies.clear();
   deployment_.control.clear();
   deployment_.startControl();
   deployment_.startProxies();
   ASSERT_TRUE(deployment_.runUntil([this] { return allServe("/one/beside"); }));
   const std::size_t before = crashes();
-  EXPECT_EQ(deployment_.send(1, request(kHarmful, "after-all")).status, 503);
+  EXPECT_EQ(deployment_.send(1, request(kCrashingTarget, "after-all")).status, 503);
   EXPECT_EQ(crashes(), before);
 }
 
--- a/tests/platform/fake_platform.cc
+++ b/tests/platform/fake_platform.cc
@@ -13,11 +13,12 @@
 namespace ramppond::fake_platform {
 namespace {
 
-constexpr Duration kPatience = seconds(20);
+constexpr Duration kConditionTimeout = seconds(20);
 constexpr std::size_t kMaximumBodyBytes = 1U << 20U;
-constexpr Duration kBeatInterval = milliseconds(300);
+constexpr Duration kHeartbeatInterval = milliseconds(300);
 
-/// Distinct ports of one address, chosen by the kernel; all are held until all are chosen.
+/// Returns distinct ports of one address, chosen by the kernel. All sockets stay open until all
+/// ports are chosen, so that no port is chosen twice.
 Ports freePorts(EventLoop& loop, const std::string& host) {
   using Acceptor = boost::asio::ip::tcp::acceptor;
   std::vector<std::unique_ptr<Acceptor>> held;
@@ -29,15 +30,15 @@
   return {next(), next(), next(), next(), next(), next(), next()};
 }
 
-/// Collects a whole answer.
-class Collector : public ClientHandler {
+/// Collects an answer and calls `done` at its end or on a failure.
+class AnswerCollector : public ClientHandler {
  public:
-  explicit Collector(std::function<void(const Answer&)> done) : done_(std::move(done)) {}
+  explicit AnswerCollector(std::function<void(const Answer&)> done) : done_(std::move(done)) {}
   void onResponseHead(HttpHead head) override {
     answer_.status = head.status;
     answer_.request_id = head.get("Request-Id");
     answer_.retry_after = head.get("Retry-After");
-    answer_.says_leaving = head.get("Server-Leaving") == "1";
+    answer_.reports_leaving = head.get("Server-Leaving") == "1";
     location = head.get("Location");
   }
   void onResponseBody(std::string_view data) override { answer_.body.append(data); }
@@ -53,7 +54,7 @@
   std::function<void(const Answer&)> done_;
 };
 
-HttpHead headOf(const Request& request) {
+HttpHead makeHead(const Request& request) {
   HttpHead head;
   head.method = request.method;
   head.target = request.target;
@@ -70,8 +71,8 @@
   return head;
 }
 
-/// A TOML list of texts.
-std::string listOf(const std::vector<std::string>& texts) {
+/// Formats a TOML array of strings.
+std::string tomlList(const std::vector<std::string>& texts) {
   std::string list = "[";
   for (const std::string& text : texts) {
     list += (list.size() == 1 ? "\"" : ",\"") + text + "\"";
@@ -79,7 +80,7 @@
   return list + "]";
 }
 
-/// Gives all bytes that came.
+/// Sends raw bytes and collects all bytes received.
 class RawClient : public TcpConnection {
  public:
   RawClient(EventLoop& loop, std::string bytes) : TcpConnection(loop), bytes_(std::move(bytes)) {}
@@ -128,14 +129,14 @@
   ::kill(process_, number);
 }
 
-void Program::fillDisk() const {
+void Program::failDiskWrites() const {
   rlimit limit = {};
   ::prlimit(process_, RLIMIT_FSIZE, nullptr, &limit);
   limit.rlim_cur = 0;
   ::prlimit(process_, RLIMIT_FSIZE, &limit, nullptr);
 }
 
-void Program::emptyDisk() const {
+void Program::restoreDiskWrites() const {
   rlimit limit = {};
   ::prlimit(process_, RLIMIT_FSIZE, nullptr, &limit);
   limit.rlim_cur = limit.rlim_max;
@@ -175,10 +176,10 @@
       service_(std::move(service)),
       name_(std::move(instance)),
       instance_(name_),
-      beat_timer_(loop),
+      heartbeat_timer_(loop),
       restart_timer_(loop) {}
 
-// A heartbeat under way and its connection hold each other.
+// A heartbeat in flight and its connection own each other; cancelling breaks the cycle.
 AppServer::~AppServer() {
   for (const auto& exchange : exchanges_) {
     exchange->cancel();
@@ -205,14 +206,14 @@
                  R"(","info":{"service":")" + service_ +
                  R"(","version":"v1","zone":"z","slots":8},"status":{"state":")" + state +
                  R"(","seq":)" + std::to_string(sequence_) + R"(,"cold_left_s":0}})";
-  const auto handler = std::make_shared<Collector>([this](const Answer& answer) {
-    beats_acknowledged += answer.complete && answer.status == 200 ? 1 : 0;
+  const auto handler = std::make_shared<AnswerCollector>([this](const Answer& answer) {
+    heartbeats_acknowledged += answer.complete && answer.status == 200 ? 1 : 0;
   });
   handlers_.push_back(handler);
   exchanges_.push_back(
-      reports_->start(headOf(request), BodyFraming::kLength, request.body, true, handler));
-  beat_timer_.after(kBeatInterval, [this, state] {
-    if (beating_) {
+      reports_->start(makeHead(request), BodyFraming::kLength, request.body, true, handler));
+  heartbeat_timer_.after(kHeartbeatInterval, [this, state] {
+    if (heartbeats_enabled_) {
       beat(state);
     }
   });
@@ -234,7 +235,7 @@
       }));
 }
 
-bool AppServer::endsIt(const HttpHead& request) const {
+bool AppServer::shouldCrash(const HttpHead& request) const {
   const std::string expected = request.get("Expect-Instance");
   const bool meant = expected.empty() || expected == instance_;
   return meant && !crashes_on.empty() && request.target.find(crashes_on) != std::string::npos;
@@ -242,7 +243,7 @@
 
 void AppServer::finishWork(const std::shared_ptr<ServerExchange>& exchange,
                            const std::string& body) {
-  if (endsIt(exchange->request())) {
+  if (shouldCrash(exchange->request())) {
     crash();
   } else {
     answer(exchange, body);
@@ -252,7 +253,7 @@
 void AppServer::crash() {
   crashes += 1;
   server_.reset();
-  beat_timer_.cancel();
+  heartbeat_timer_.cancel();
   for (const auto& exchange : exchanges_) {
     exchange->cancel();
   }
@@ -274,7 +275,7 @@
   if (!named_limit.empty()) {
     head.fields.push_back({"Server-Limit", named_limit});
   }
-  if (says_leaving) {
+  if (reports_leaving) {
     head.fields.push_back({"Server-Leaving", "1"});
   }
   if (!expected_instance.empty() && expected_instance != instance_) {
@@ -310,7 +311,7 @@
   std::filesystem::remove_all(folder);
 }
 
-// Loopback addresses of this test process alone: tests run side by side.
+// Derives the address from the process id, because test processes run in parallel.
 std::string Deployment::host(int machine) const {
   constexpr int kRange = 250;
   const int process = ::getpid();
@@ -340,7 +341,7 @@
                         << "\"\nmember_address = \"" << controlHost(machine) << ":" << ports.members
                         << "\"\ndata_folder = \"" << folder << "/" << name
                         << "\"\nfirst_start = true\nseeds = [" << seeds
-                        << "]\nbounds = " << listOf(bounds) << "\n";
+                        << "]\nbounds = " << tomlList(bounds) << "\n";
     control.push_back(std::make_unique<Program>(RAMPPOND_COORDINATOR, path, folder + "/log"));
   }
 }
@@ -371,7 +372,7 @@
   for (int seed = 0; seed < kControlMachines; ++seed) {
     file << (seed == 0 ? "\"" : ",\"") << controlHost(seed) << ":" << ports.operators << "\"";
   }
-  file << "]\nbounds = " << listOf(bounds) << "\n";
+  file << "]\nbounds = " << tomlList(bounds) << "\n";
   file.close();
   proxies[static_cast<std::size_t>(machine)] =
       std::make_unique<Program>(RAMPPOND_PROXY, path, folder + "/log");
@@ -399,14 +400,14 @@
 Answer Deployment::call(const std::string& host, std::uint16_t port, const Request& request) {
   Answer result;
   bool done = false;
-  const auto handler = std::make_shared<Collector>([&](const Answer& answer) {
+  const auto handler = std::make_shared<AnswerCollector>([&](const Answer& answer) {
     result = answer;
     done = true;
   });
-  const auto exchange =
-      pool(host, port)
-          .start(headOf(request), request.body.empty() ? BodyFraming::kNone : BodyFraming::kLength,
-                 request.body, true, handler);
+  const auto exchange = pool(host, port)
+                            .start(makeHead(request),
+                                   request.body.empty() ? BodyFraming::kNone : BodyFraming::kLength,
+                                   request.body, true, handler);
   runUntil([&] { return done; });
   const std::string prefix = "http://";
   if (result.status == 307 && handler->location.substr(0, prefix.size()) == prefix) {
@@ -450,11 +451,11 @@
 
 void Deployment::sendLater(int machine, const Request& request,
                            std::function<void(const Answer&)> done) {
-  const auto handler = std::make_shared<Collector>(std::move(done));
+  const auto handler = std::make_shared<AnswerCollector>(std::move(done));
   const BodyFraming framing = request.body.empty() ? BodyFraming::kNone : BodyFraming::kLength;
   HttpClientPool& clients = pool(serverHost(machine), ports.clients);
   sent_later_.push_back(
-      {handler, clients.start(headOf(request), framing, request.body, true, handler)});
+      {handler, clients.start(makeHead(request), framing, request.body, true, handler)});
 }
 
 std::string Deployment::sendRaw(const std::string& host, std::uint16_t port,
@@ -471,7 +472,7 @@
 
 std::string Deployment::sendInParts(const std::string& host, std::uint16_t port,
                                     const std::vector<std::string>& parts,
-                                    const std::string& enough) {
+                                    const std::string& expected_text) {
   const auto client = std::make_shared<RawClient>(loop, parts.front());
   client->open({host, port});
   for (std::size_t part = 1; part < parts.size(); ++part) {
@@ -479,9 +480,9 @@
     client->sendMore(parts[part]);
   }
   EXPECT_TRUE(runUntil([&] {
-    return client->ended || client->received.find(enough) != std::string::npos;
+    return client->ended || client->received.find(expected_text) != std::string::npos;
   })) << "no "
-      << enough;
+      << expected_text;
   client->abort(false);
   return client->received;
 }
@@ -502,8 +503,9 @@
 }
 
 bool Deployment::runUntil(const std::function<bool()>& condition) {
-  const TimePoint end = EventLoop::now() + kPatience;
-  bool holds = condition();  // Asked once a turn: a condition may send a request.
+  const TimePoint end = EventLoop::now() + kConditionTimeout;
+  bool holds =
+      condition();  // Evaluated once per iteration, because a condition may send a request.
   while (!holds && EventLoop::now() < end) {
     loop.context().restart();
     loop.context().run_one_for(milliseconds(20));
@@ -538,15 +540,15 @@
          R"("header_timeout_s":3,"idle_timeout_s":15}}]})";
 }
 
-std::string tenantDocument(const std::string& version, const std::vector<StandInTenant>& tenants) {
+std::string tenantDocument(const std::string& version, const std::vector<TenantSpec>& tenants) {
   std::string document = configurationDocument(version, "/first/");
   std::string added =
       R"({"type":"routes","meta":{"name":"r-open"},"spec":{"host":"app.example",)"
       R"("path_prefix":"/open/","kind":"safe","timeout_s":5,"goal_s":1,"priority":1,)"
       R"("max_attempts":2,"service":"one","public":true}})";
-  for (const StandInTenant& tenant : tenants) {
+  for (const TenantSpec& tenant : tenants) {
     added += R"(,{"type":"tenants","meta":{"name":")" + tenant.name + R"("},"spec":{"api_keys":)" +
-             listOf(tenant.keys) + R"(,"priority":1,"rate_per_s":)" +
+             tomlList(tenant.keys) + R"(,"priority":1,"rate_per_s":)" +
              std::to_string(tenant.rate_per_s) + R"(,"burst":)" +
              std::to_string(tenant.rate_per_s) + "}}";
   }
--- a/tests/platform/fake_platform.h
+++ b/tests/platform/fake_platform.h
@@ -1,8 +1,9 @@
-// The platform's side of the protocol, for tests with real processes on loopback: machines with
-// their servers, an operator, clients. Written from the platform's published protocol alone.
+// Test double of the platform, for tests with real processes on loopback: machines with servers, an
+// operator and clients. Implements the platform's published protocol independently of the product.
 //
-// Every machine has a loopback address of its own, and the same ports, as on the platform. The
-// programs run as child processes; servers, operator and clients run on the test's event loop.
+// As on the platform, every machine has its own address (on loopback) and uses the same ports. The
+// programs under test run as child processes; servers, operator and clients run on the event loop
+// of the test. Not thread-safe.
 #pragma once
 
 #include <sys/types.h>
@@ -18,7 +19,7 @@
 
 namespace ramppond::fake_platform {
 
-/// A program started by the test and ended with it.
+/// A child process; killed by the destructor.
 class Program {
  public:
   Program(const std::string& program, const std::string& settings, const std::string& output);
@@ -26,12 +27,13 @@
   Program(const Program&) = delete;
   Program& operator=(const Program&) = delete;
   void signal(int number) const;
-  /// Whether it still runs; afterwards exitStatus() tells how it ended.
+  /// Returns whether the process still runs. Once it has ended, exitStatus() is valid.
   bool running();
-  /// Its disk takes no more bytes (a limit on the size of its files), or takes them again.
-  void fillDisk() const;
-  void emptyDisk() const;
-  /// The most memory that it has held, in KiB.
+  /// Makes all further writes to files fail, by a file size limit of zero.
+  void failDiskWrites() const;
+  /// Lifts the limit set by failDiskWrites().
+  void restoreDiskWrites() const;
+  /// Peak resident memory in KiB.
   [[nodiscard]] std::size_t peakMemoryKib() const;
   [[nodiscard]] int exitStatus() const { return exit_status_; }
 
@@ -50,14 +52,14 @@
   std::uint16_t server = 0;
 };
 
-/// A whole answer as a client saw it.
+/// An answer as the client received it.
 struct Answer {
-  bool complete = false;
+  bool complete = false;  ///< False if the connection ended first.
   int status = 0;
   std::string body;
   std::string request_id;
   std::string retry_after;
-  bool says_leaving = false;  ///< Its server says that it leaves.
+  bool reports_leaving = false;  ///< The server announced that it is leaving.
 };
 
 struct Request {
@@ -69,10 +71,11 @@
   std::map<std::string, std::string> headers;
 };
 
-/// Length of an answer to a target that holds "/large".
+/// Body size of answers to targets that contain "/large".
 constexpr std::size_t kLargeAnswerBytes = 40U << 20U;
 
-/// A back end that reports itself, answers with what it was asked, and counts what it ran.
+/// A back-end server that sends heartbeats, echoes each request in its answer and counts the
+/// requests that it has run.
 class AppServer {
  public:
   AppServer(EventLoop& loop, std::string host, const Ports& ports, std::string service,
@@ -81,30 +84,33 @@
   AppServer(const AppServer&) = delete;
   AppServer& operator=(const AppServer&) = delete;
   void start();
+  /// Sends a heartbeat with `state` now and at every interval.
   void beat(const std::string& state);
-  void stopBeating() { beating_ = false; }
-  /// Ends as a process that crashes, with all its connections, and is back as a new instance after
+  void stopHeartbeats() { heartbeats_enabled_ = false; }
+  /// Simulates a crash: closes all connections, and starts again as a new instance after
   /// `time_to_restart`.
   void crash();
-  std::map<std::string, int> runs;             ///< Request id to the times that it ran.
+  std::map<std::string, int> runs;             ///< Number of runs by request id.
   std::string caller_service;                  ///< Of the last request.
   std::string expected_instance;               ///< Of the last request.
-  std::map<std::string, std::string> tenants;  ///< Request id to the tenant that it came with.
-  std::size_t credentials_seen = 0;            ///< Requests that carried a client's credential.
-  std::size_t beats_acknowledged = 0;
+  std::map<std::string, std::string> tenants;  ///< Tenant field by request id.
+  std::size_t credentials_seen = 0;            ///< Number of requests with a client's credential.
+  std::size_t heartbeats_acknowledged = 0;
   Duration work = milliseconds(5);
-  std::string crashes_on;  ///< It crashes at the end of work on a target that holds this text.
+  std::string
+      crashes_on;  ///< Crashes after processing a target that contains this text; empty for never.
   Duration time_to_restart = milliseconds(300);
   std::size_t crashes = 0;
-  std::string named_limit;          ///< Named in each answer; empty for none.
-  bool says_leaving = false;        ///< In each answer; its heartbeats say ready all the same.
-  std::vector<TimePoint> arrivals;  ///< When each request came.
+  std::string named_limit;  ///< Limit announced in each answer; empty for none.
+  bool reports_leaving =
+      false;  ///< Announces in each answer that it leaves; heartbeats still say ready.
+  std::vector<TimePoint> arrivals;  ///< Arrival time of each request.
 
  private:
   void serve(const std::shared_ptr<ServerExchange>& exchange);
   void finishWork(const std::shared_ptr<ServerExchange>& exchange, const std::string& body);
   void answer(const std::shared_ptr<ServerExchange>& exchange, const std::string& body);
-  [[nodiscard]] bool endsIt(const HttpHead& request) const;
+  [[nodiscard]] bool shouldCrash(const HttpHead& request) const;
 
   EventLoop& loop_;
   std::string host_;
@@ -117,13 +123,13 @@
   std::vector<std::shared_ptr<ClientHandler>> handlers_;
   std::vector<std::shared_ptr<ClientExchange>> exchanges_;
   std::vector<std::shared_ptr<LoopTimer>> timers_;
-  LoopTimer beat_timer_;
+  LoopTimer heartbeat_timer_;
   LoopTimer restart_timer_;
   std::uint64_t sequence_ = 0;
-  bool beating_ = true;
+  bool heartbeats_enabled_ = true;
 };
 
-/// Three control machines and some machines with servers.
+/// A deployment of three control machines and several machines with servers.
 class Deployment {
  public:
   Deployment();
@@ -136,31 +142,33 @@
   void startProxies();
   void startProxy(int machine);
   void startServers();
-  /// Puts a configuration with the operator's retries and redirects; gives the last status.
+  /// Puts a configuration as the operator does: retries on failure and follows redirects. Returns
+  /// the last status; 0 if there was no answer.
   int put(const std::string& base, const std::string& document);
   int putTo(int machine, const std::string& base, const std::string& document);
-  /// Reads it back, as the operator does.
+  /// Reads the configuration as the operator does.
   std::string read();
   Answer send(int machine, const Request& request);
-  /// Sends without waiting; `done` is called with the answer.
+  /// Starts a request without waiting for it; `done` is called with the answer.
   void sendLater(int machine, const Request& request, std::function<void(const Answer&)> done);
-  /// Sends raw bytes that make up a message, right or wrong; gives what came back once a head had
-  /// come or the connection had ended.
+  /// Sends the bytes of a valid or malformed message. Returns the bytes received up to a complete
+  /// header or the end of the connection.
   std::string sendRaw(const std::string& host, std::uint16_t port, const std::string& bytes);
-  /// Sends raw bytes in parts, with a pause before each further one; gives what had come once
-  /// `enough` stands in it or the connection had ended.
+  /// Sends raw bytes in parts with a pause before each further part. Returns the bytes received
+  /// until they contain `expected_text` or the connection ends.
   std::string sendInParts(const std::string& host, std::uint16_t port,
-                          const std::vector<std::string>& parts, const std::string& enough);
-  /// Sends raw bytes to which more may follow, so that nothing need come back; gives what did.
+                          const std::vector<std::string>& parts, const std::string& expected_text);
+  /// Sends the bytes of an incomplete message, which may get no answer. Returns the bytes received
+  /// within a fixed time.
   std::string sendUnfinished(const std::string& host, std::uint16_t port, const std::string& bytes);
   int readiness(int machine);
-  /// Runs the loop until `condition` holds; false if it does not in good time.
+  /// Runs the loop until `condition` holds. Returns false on a timeout.
   bool runUntil(const std::function<bool()>& condition);
   void runFor(Duration time);
   std::string controlHost(int machine) const;
   std::string serverHost(int machine) const;
 
-  /// NAME=VALUE each, for processes that are started from now on.
+  /// Bounds (NAME=VALUE each) in the settings of processes that are started from now on.
   std::vector<std::string> bounds = {"drain_timeout_s=2", "grace_s=6"};
 
   EventLoop loop;
@@ -171,7 +179,7 @@
   std::vector<std::unique_ptr<AppServer>> servers;
 
  private:
-  /// Keeps a request alive until the deployment ends.
+  /// Keeps a request of sendLater() alive until the deployment ends.
   struct SentLater {
     std::shared_ptr<ClientHandler> handler;
     std::shared_ptr<ClientExchange> exchange;
@@ -184,16 +192,18 @@
   std::map<std::string, std::unique_ptr<HttpClientPool>> pools_;
 };
 
-/// A configuration: routes /one/ (safe, service one), /two/ (unsafe, service two).
+/// Returns a configuration with the routes /one/ (safe, service one), /two/ (unsafe, service two)
+/// and `extra_prefix` (safe, service two).
 std::string configurationDocument(const std::string& version, const std::string& extra_prefix);
 
-/// A tenant of a configuration; its limit is 0 for none.
-struct StandInTenant {
+/// A tenant of a configuration.
+struct TenantSpec {
   std::string name;
   std::vector<std::string> keys;
-  int rate_per_s = 0;
+  int rate_per_s = 0;  ///< 0 for no limit.
 };
-/// The same with these tenants and a public route /open/ (safe, service one).
-std::string tenantDocument(const std::string& version, const std::vector<StandInTenant>& tenants);
+/// Returns the configuration of configurationDocument() with `tenants` and a public route /open/
+/// (safe, service one).
+std::string tenantDocument(const std::string& version, const std::vector<TenantSpec>& tenants);
 
 }  // namespace ramppond::fake_platform
--- a/tests/platform/fake_platform_test.cc
+++ b/tests/platform/fake_platform_test.cc
@@ -1,4 +1,4 @@
-// The stand-in itself: what it leaves behind. The sanitizers of CI look for leaks.
+// Tests of the platform test double. Leaks are detected by the sanitizers of CI.
 #include "tests/platform/fake_platform.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace ramppond::fake_platform {
 namespace {
 
-TEST(AppServer, MayEndWhileAHeartbeatIsUnderWay) {
+TEST(AppServer, DestructorDuringHeartbeatLeaksNothing) {
   EventLoop loop;
   const Endpoint silent = {"127.0.0.1", 0};
   boost::asio::ip::tcp::acceptor listener(
@@ -19,7 +19,7 @@
   AppServer server(loop, silent.host, ports, "service", "instance");
   server.start();
   loop.run();
-  EXPECT_EQ(server.beats_acknowledged, 0U);
+  EXPECT_EQ(server.heartbeats_acknowledged, 0U);
 }
 
 }  // namespace
--- a/tests/platform/forwarding_fixture.cc
+++ b/tests/platform/forwarding_fixture.cc
@@ -16,7 +16,7 @@
   }
   std::cout << std::ifstream(deployment_.folder + "/log").rdbuf() << std::endl;
   for (const auto& server : deployment_.servers) {
-    std::cout << "acknowledged heartbeats: " << server->beats_acknowledged << "\n";
+    std::cout << "acknowledged heartbeats: " << server->heartbeats_acknowledged << "\n";
   }
 }
 
@@ -24,7 +24,8 @@
   return number % 3 == 0;
 }
 
-std::map<std::string, Answer> ForwardingTest::sendMany(std::size_t count, std::size_t at_once) {
+std::map<std::string, Answer> ForwardingTest::sendMany(std::size_t count,
+                                                       std::size_t max_in_flight) {
   std::map<std::string, Answer> answers;
   for (std::size_t number = 0; number < count; ++number) {
     const std::string id = "own-" + std::to_string(number);
@@ -36,7 +37,7 @@
       wanted.method = "POST";
       wanted.body = "body of " + id;
     }
-    EXPECT_TRUE(deployment_.runUntil([&] { return number - answers.size() < at_once; }));
+    EXPECT_TRUE(deployment_.runUntil([&] { return number - answers.size() < max_in_flight; }));
     deployment_.sendLater(static_cast<int>(number % Deployment::kServerMachines), wanted,
                           [&answers, id](const Answer& answer) { answers[id] = answer; });
   }
@@ -44,7 +45,7 @@
   return answers;
 }
 
-bool isOwnAnswer(std::size_t number, const Answer& answer) {
+bool isCorrectAnswer(std::size_t number, const Answer& answer) {
   const std::string id = "own-" + std::to_string(number);
   const std::string expected = isUnsafe(number) ? "two POST /two/a?n=1 " + id + " body of " + id
                                                 : "one GET /one/a " + id + " ";
--- a/tests/platform/forwarding_fixture.h
+++ b/tests/platform/forwarding_fixture.h
@@ -1,5 +1,5 @@
-// The fixture of the tests with real processes: a deployment of the stand-in with a configuration
-// in force on every daemon.
+// Test fixture with real processes: a deployment in which a configuration is in force on every
+// daemon and every server has served a request.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -20,9 +20,9 @@
     deployment_.startServers();
     ASSERT_EQ(deployment_.put("0", configurationDocument("00000002", "/first/")), 200);
     ASSERT_TRUE(deployment_.runUntil(
-        [this] { return allServe("/one/x") && allServe("/two/x") && everyServerHasRun(); }));
+        [this] { return allServe("/one/x") && allServe("/two/x") && everyServerHasServed(); }));
   }
-  /// What the programs wrote, and which still run: a failure that shows once must be traceable.
+  /// After a failure prints the logs and states of all programs, to make rare failures traceable.
   void TearDown() override;
   Request request(const std::string& target, const std::string& id) {
     Request request;
@@ -41,8 +41,8 @@
     }
     return true;
   }
-  /// A server whose first heartbeat was not taken becomes known an interval later.
-  bool everyServerHasRun() {
+  /// A server whose first heartbeat was not accepted becomes known only after the next heartbeat.
+  bool everyServerHasServed() {
     return std::all_of(deployment_.servers.begin(), deployment_.servers.end(),
                        [](const auto& server) { return !server->runs.empty(); });
   }
@@ -55,16 +55,17 @@
     return runs;
   }
 
-  /// Sends `count` requests, at most `at_once` at a time; gives each answer by its request's id.
-  std::map<std::string, Answer> sendMany(std::size_t count, std::size_t at_once);
+  /// Sends `count` requests, at most `max_in_flight` at a time. Returns the answers by request id.
+  std::map<std::string, Answer> sendMany(std::size_t count, std::size_t max_in_flight);
 
   Deployment deployment_;
   std::uint64_t next_ = 1;
 };
 
-/// Whether request `number` of sendMany() goes to the route whose requests may not be repeated.
+/// Returns whether request `number` of sendMany() goes to the unsafe route, whose requests must not
+/// be retried.
 bool isUnsafe(std::size_t number);
-/// Whether the answer to request `number` of sendMany() is its server's own, and whole.
-bool isOwnAnswer(std::size_t number, const Answer& answer);
+/// Returns whether `answer` is the complete answer of a server to request `number` of sendMany().
+bool isCorrectAnswer(std::size_t number, const Answer& answer);
 
 }  // namespace ramppond::fake_platform
--- a/tests/platform/forwarding_day_test.cc
+++ b/tests/platform/forwarding_test.cc
@@ -1,4 +1,5 @@
-// Short days of the whole forwarding path with real processes: answers, changes, members, disks.
+// Tests of the whole forwarding path with real processes: answers, configuration changes, failures
+// of control members and full disks.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -8,13 +9,13 @@
 namespace ramppond::fake_platform {
 namespace {
 
-TEST_F(ForwardingTest, EveryAnswerIsWholeAndToItsOwnRequest) {
+TEST_F(ForwardingTest, EveryAnswerIsCompleteAndMatchesItsRequest) {
   constexpr std::size_t kRequests = 200;
-  constexpr std::size_t kAtOnce = 5;  // Fewer than the slots of any one server.
-  const auto answers = sendMany(kRequests, kAtOnce);
+  constexpr std::size_t kMaxInFlight = 5;  // Below the number of slots of each server.
+  const auto answers = sendMany(kRequests, kMaxInFlight);
   for (std::size_t number = 0; number < kRequests; ++number) {
     const std::string id = "own-" + std::to_string(number);
-    EXPECT_TRUE(isOwnAnswer(number, answers.at(id))) << answers.at(id).status;
+    EXPECT_TRUE(isCorrectAnswer(number, answers.at(id))) << answers.at(id).status;
     EXPECT_EQ(runsOf(id), 1);
   }
   for (const auto& server : deployment_.servers) {
@@ -25,8 +26,8 @@
   }
 }
 
-// More than the servers can hold: some are refused, and whoever is refused did not run.
-TEST_F(ForwardingTest, WhoeverIsRefusedUnderOverloadDidNotRun) {
+// Sends more requests than the servers have room for.
+TEST_F(ForwardingTest, RequestRefusedUnderOverloadDidNotRun) {
   for (const auto& server : deployment_.servers) {
     server->work = milliseconds(50);
   }
@@ -36,7 +37,7 @@
   for (std::size_t number = 0; number < kRequests; ++number) {
     const std::string id = "own-" + std::to_string(number);
     const Answer& answer = answers.at(id);
-    if (isOwnAnswer(number, answer)) {
+    if (isCorrectAnswer(number, answer)) {
       EXPECT_EQ(runsOf(id), 1);
       continue;
     }
@@ -49,7 +50,7 @@
   EXPECT_LT(refused, kRequests);
 }
 
-TEST_F(ForwardingTest, LargeAnswersPassInFlatMemory) {
+TEST_F(ForwardingTest, LargeAnswerIsForwardedInBoundedMemory) {
   std::vector<std::size_t> before;
   for (const auto& program : deployment_.proxies) {
     before.push_back(program->peakMemoryKib());
@@ -58,13 +59,13 @@
   const Answer answer = deployment_.send(0, request("/one/large", "large"));
   EXPECT_TRUE(answer.complete);
   EXPECT_EQ(answer.body.size(), kLargeAnswerBytes);
-  constexpr std::size_t kMostGrowthKib = kLargeAnswerBytes / 1024 / 4;
+  constexpr std::size_t kMaxGrowthKib = kLargeAnswerBytes / 1024 / 4;
   for (std::size_t machine = 0; machine < before.size(); ++machine) {
-    EXPECT_LT(deployment_.proxies[machine]->peakMemoryKib() - before[machine], kMostGrowthKib);
+    EXPECT_LT(deployment_.proxies[machine]->peakMemoryKib() - before[machine], kMaxGrowthKib);
   }
 }
 
-TEST_F(ForwardingTest, AChangeIsInForceEverywhereAndReadBackAsItWasPut) {
+TEST_F(ForwardingTest, ConfigurationChangeReachesAllProxiesAndIsReadBackUnchanged) {
   EXPECT_EQ(deployment_.send(0, request("/second/x", "before")).status, 404);
   const std::string next = configurationDocument("00000005", "/second/");
   EXPECT_EQ(deployment_.put("00000002", next), 200);
@@ -76,7 +77,7 @@
   EXPECT_EQ(deployment_.send(1, request("/first/x", "after")).status, 404);
 }
 
-TEST_F(ForwardingTest, ALostControlMemberAndARestartOfAllLoseNothing) {
+TEST_F(ForwardingTest, ConfigurationSurvivesMemberCrashAndFullRestart) {
   deployment_.control[0]->signal(SIGKILL);
   const std::string next = configurationDocument("00000005", "/second/");
   EXPECT_EQ(deployment_.put("00000002", next), 200);
@@ -86,27 +87,28 @@
   EXPECT_TRUE(deployment_.runUntil([this] { return allServe("/second/x"); }));
 }
 
-// Whichever member it is, the leader too: the others go on, and it takes part again afterwards.
-TEST_F(ForwardingTest, AMemberWhoseDiskIsFullLivesOnAndComesBack) {
+// Holds for every member, the leader included: the other two accept changes meanwhile, and the
+// member takes part again once its disk accepts writes.
+TEST_F(ForwardingTest, MemberWithFullDiskKeepsRunningAndRejoins) {
   for (std::size_t full = 0; full < Deployment::kControlMachines; ++full) {
     const std::string base = "0000000" + std::to_string(2 + full);
     const std::string next = configurationDocument("0000000" + std::to_string(3 + full), "/n/");
-    deployment_.control[full]->fillDisk();
+    deployment_.control[full]->failDiskWrites();
     EXPECT_EQ(deployment_.put(base, next), 200);
     EXPECT_TRUE(deployment_.runUntil([this] { return allServe("/n/x"); }));
     EXPECT_TRUE(deployment_.control[full]->running());
-    deployment_.control[full]->emptyDisk();
+    deployment_.control[full]->restoreDiskWrites();
   }
-  deployment_.control[0]->signal(SIGKILL);  // The other two are needed now.
+  deployment_.control[0]->signal(SIGKILL);  // A quorum now needs both other members.
   const std::string last = configurationDocument("00000009", "/last/");
   EXPECT_EQ(deployment_.put("00000005", last), 200);
   EXPECT_TRUE(deployment_.runUntil([this] { return allServe("/last/x"); }));
 }
 
-// With no disk to write to, nothing is acknowledged; what was acknowledged before is kept.
-TEST_F(ForwardingTest, WhileAllDisksAreFullNothingIsAcknowledgedAndNothingLost) {
+// With all disks full nothing can be acknowledged, but the configuration in force is kept.
+TEST_F(ForwardingTest, ChangesFailWhileAllDisksAreFullAndNothingIsLost) {
   for (const auto& member : deployment_.control) {
-    member->fillDisk();
+    member->failDiskWrites();
   }
   const std::string next = configurationDocument("00000005", "/second/");
   for (int machine = 0; machine < Deployment::kControlMachines; ++machine) {
@@ -116,7 +118,7 @@
   EXPECT_TRUE(allServe("/first/x"));
   for (const auto& member : deployment_.control) {
     EXPECT_TRUE(member->running());
-    member->emptyDisk();
+    member->restoreDiskWrites();
   }
   EXPECT_EQ(deployment_.put("00000002", next), 200);
   EXPECT_TRUE(deployment_.runUntil([&] { return deployment_.read() == next; }));
--- a/tests/platform/planned_stop_day_test.cc
+++ b/tests/platform/graceful_stop_test.cc
@@ -1,4 +1,4 @@
-// Planned stops of daemons with requests under way, with real processes.
+// Graceful shutdown of daemons with requests in flight, with real processes.
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -8,7 +8,7 @@
 namespace ramppond::fake_platform {
 namespace {
 
-TEST_F(ForwardingTest, StoppingDaemonsOneAfterTheOtherCutsNoRequest) {
+TEST_F(ForwardingTest, StoppingDaemonsInTurnCompletesAllRequests) {
   for (const auto& server : deployment_.servers) {
     server->work = milliseconds(80);
   }
@@ -16,7 +16,7 @@
     std::size_t sent = 0;
     std::size_t answered = 0;
     std::size_t complete = 0;
-    const auto sendSome = [&](int machine) {
+    const auto sendOne = [&](int machine) {
       sent += 1;
       const std::string id = "stop-" + std::to_string(stopped) + "-" + std::to_string(sent);
       deployment_.sendLater(machine, request("/one/s", id), [&](const Answer& answer) {
@@ -24,13 +24,13 @@
         complete += answer.complete ? 1 : 0;
       });
     };
-    sendSome(stopped);
-    sendSome(stopped);
+    sendOne(stopped);
+    sendOne(stopped);
     deployment_.runFor(milliseconds(20));
     deployment_.proxies[static_cast<std::size_t>(stopped)]->signal(SIGTERM);
     EXPECT_TRUE(deployment_.runUntil([&] { return deployment_.readiness(stopped) == 503; }));
-    sendSome(stopped);  // Still served, or refused as not run.
-    sendSome((stopped + 1) % Deployment::kServerMachines);
+    sendOne(stopped);  // Served or refused as not run, but not cut off.
+    sendOne((stopped + 1) % Deployment::kServerMachines);
     EXPECT_TRUE(deployment_.runUntil([&] { return answered == sent; }));
     EXPECT_EQ(complete, sent);
     auto& program = *deployment_.proxies[static_cast<std::size_t>(stopped)];
@@ -41,10 +41,11 @@
   }
 }
 
-// A request that begins and ends between two looks at what is under way was once cut: its answer
-// was with the connection and had not left. Here the daemon stands still from the moment at which
-// the server has the request until the answer and its own timers wait for it together.
-TEST_F(ForwardingTest, AStoppingDaemonDeliversAnAnswerThatItGetsWhenItMayEnd) {
+// Guards against a daemon that ends while an answer is still in the buffer of its connection: a
+// request that began and ended between two checks for requests in flight was cut off. The daemon is
+// paused while the server processes the request, so that the answer and the expired timers of the
+// daemon are pending together when it continues.
+TEST_F(ForwardingTest, StoppingDaemonDeliversAnswerThatArrivesWithStopTimer) {
   constexpr int kStopped = 0;
   const auto& program = deployment_.proxies[kStopped];
   for (const auto& server : deployment_.servers) {
@@ -62,8 +63,8 @@
   deployment_.runFor(milliseconds(150));
   Answer answer;
   bool done = false;
-  deployment_.sendLater(kStopped, request("/one/race", "race"), [&](const Answer& told) {
-    answer = told;
+  deployment_.sendLater(kStopped, request("/one/race", "race"), [&](const Answer& received) {
+    answer = received;
     done = true;
   });
   deployment_.runFor(milliseconds(8));
@@ -76,9 +77,8 @@
   EXPECT_EQ(program->exitStatus(), 0);
 }
 
-// Whoever sends around the end of a stopping daemon gets a whole answer, or its request was never
-// handed on.
-TEST_F(ForwardingTest, RequestsAtAnyMomentAroundAStopAreAnsweredOrNeverRead) {
+// A request sent around the end of a stopping daemon gets a complete answer or was never forwarded.
+TEST_F(ForwardingTest, RequestsSentDuringStopAreAnsweredOrNotForwarded) {
   constexpr int kStopped = 0;
   const auto& program = deployment_.proxies[kStopped];
   for (const auto& server : deployment_.servers) {
@@ -95,7 +95,7 @@
     deployment_.sendLater(kStopped, wanted,
                           [&answers, id](const Answer& answer) { answers[id] = answer; });
     sent += 1;
-    // Pauses of all lengths: shorter and longer than anything that the daemon waits for.
+    // Pauses of varying length, both shorter and longer than all delays of the daemon's shutdown.
     deployment_.runFor(milliseconds(3 + (sent * 37) % 190));
   }
   EXPECT_EQ(program->exitStatus(), 0);
--- a/tests/platform/bad_input_day_test.cc
+++ b/tests/platform/malformed_input_test.cc
@@ -1,4 +1,4 @@
-// Wrong bytes, documents and settings against real processes.
+// Malformed requests, documents and settings, with real processes.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -11,10 +11,10 @@
 
 using namespace std::string_literals;
 
-TEST_F(ForwardingTest, BadInputGetsAClearAnswerAndHurtsNobody) {
+TEST_F(ForwardingTest, MalformedInputIsRefusedAndProgramsKeepRunning) {
   const std::string host = "Host: app.example\r\n";
   const std::string unfinished = "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03"s;
-  const std::vector<std::string> wrong_heads = {
+  const std::vector<std::string> malformed_heads = {
       "nonsense\r\n\r\n",
       unfinished + "\r\n\r\n",
       "GET /one/x HTTP/3.7\r\n" + host + "\r\n",
@@ -38,21 +38,21 @@
         deployment_.sendUnfinished(deployment_.serverHost(0), port, unfinished);
     EXPECT_TRUE(answer.empty() || answer.substr(0, 10) == "HTTP/1.1 4") << answer;
   }
-  for (const std::string& bytes : wrong_heads) {
+  for (const std::string& bytes : malformed_heads) {
     for (const std::uint16_t port :
          {deployment_.ports.clients, deployment_.ports.peers, deployment_.ports.reports}) {
       const std::string answer = deployment_.sendRaw(deployment_.serverHost(0), port, bytes);
       EXPECT_TRUE(answer.empty() || answer.substr(0, 10) == "HTTP/1.1 4") << bytes << answer;
     }
   }
-  // Peers add fields of their own, so their port takes larger heads than clients may send.
+  // The port for peers accepts larger headers, because peers add fields of their own.
   const std::string large = "GET /one/x HTTP/1.1\r\n" + host + "X: " + std::string(20000, 'x');
   for (const std::uint16_t port : {deployment_.ports.clients, deployment_.ports.reports}) {
     const std::string answer =
         deployment_.sendRaw(deployment_.serverHost(0), port, large + "\r\n\r\n");
     EXPECT_EQ(answer.substr(0, 12), "HTTP/1.1 431");
   }
-  const std::vector<std::pair<std::string, std::string>> odd = {
+  const std::vector<std::pair<std::string, std::string>> unusual_requests = {
       {"GET /nowhere/ HTTP/1.1\r\n" + host + "\r\n", "404"},
       {"GET /one/x HTTP/1.1\r\nHost: other.example\r\n\r\n", "404"},
       {"GET /one/x HTTP/1.1\r\n\r\n", "404"},
@@ -65,7 +65,7 @@
        "200"},
       {"GET /one/x HTTP/1.0\r\n" + host + "Request-Id: o6\r\n\r\n", "200"},
   };
-  for (const auto& [bytes, status] : odd) {
+  for (const auto& [bytes, status] : unusual_requests) {
     const std::string answer =
         deployment_.sendRaw(deployment_.serverHost(0), deployment_.ports.clients, bytes);
     EXPECT_EQ(answer.substr(0, 12), "HTTP/1.1 " + status) << bytes << answer;
@@ -107,7 +107,7 @@
   }
 }
 
-TEST(ForwardingSettings, WrongFilesAreRefusedWithTheirKey) {
+TEST(ForwardingSettings, InvalidSettingsFileEndsProgramWithStatus2) {
   Deployment day;
   const std::vector<std::pair<std::string, std::string>> wrong = {
       {"", "name"},
@@ -129,7 +129,7 @@
   }
 }
 
-TEST(ForwardingSettings, BoundsWithoutTheirNamesAreRefused) {
+TEST(ForwardingSettings, BoundWithoutNameEndsProgramWithError) {
   Deployment day;
   const std::string path = day.folder + "/bounds.toml";
   std::ofstream(path) << R"(name = "a"
@@ -152,7 +152,7 @@
   EXPECT_NE(log.str().find("bounds: expected NAME=VALUE, found '2.5'"), std::string::npos);
 }
 
-TEST_F(ForwardingTest, HeartbeatsOfAnotherWriterNameNoServer) {
+TEST_F(ForwardingTest, MalformedHeartbeatsAreRefusedAndRegisterNoServer) {
   const std::string service = R"("info":{"service":"unheard-of","slots":9,"zone":"z"})";
   const std::string own = R"("info":{"service":"one","slots":9,"zone":"z"})";
   const std::string ready = R"("status":{"state":"ready","seq":1,"cold_left_s":0})";
--- a/tests/platform/platform_api_test.cc
+++ b/tests/platform/platform_api_test.cc
@@ -1,4 +1,5 @@
-// The adapter's formats, and that no name of the platform stands outside the adapter.
+// Tests of the formats that the platform adapter parses. Also checks that no name of the platform
+// occurs in the source outside the adapter.
 #include "platform/platform_api.h"
 
 #include <gtest/gtest.h>
@@ -25,7 +26,7 @@
   {"type":"limits","meta":{},"spec":{"max_header_bytes":16384,"max_body_bytes":67108864,
    "header_timeout_s":3,"idle_timeout_s":15}}]})";
 
-TEST(PlatformApi, ReadsAConfiguration) {
+TEST(PlatformApi, ParsesConfiguration) {
   const PlatformApi api;
   const auto parsed = api.parseReplacement("00000005", kDocument);
   ASSERT_TRUE(parsed.value) << parsed.error;
@@ -45,7 +46,7 @@
   EXPECT_EQ(validateTraffic(configuration), std::nullopt);
 }
 
-TEST(PlatformApi, SaysWhatIsWrongWithADocument) {
+TEST(PlatformApi, ReportsErrorOfMalformedDocument) {
   const PlatformApi api;
   const auto error = [&](const std::string& body) { return api.parseReplacement("", body).error; };
   EXPECT_NE(error(""), "");
@@ -67,7 +68,7 @@
   return R"({"version":"7","resources":[)" + specs + "]}";
 }
 
-TEST(PlatformApi, ReadsTenantsAndHoldsNoKey) {
+TEST(PlatformApi, ParsesTenantsWithoutKeepingKeys) {
   const PlatformApi api;
   const auto parsed = api.parseReplacement(
       "", withTenants(R"({"type":"tenants","meta":{"name":"t"},"spec":{"api_keys":["secret-1","k2"],
@@ -103,7 +104,7 @@
 
 class TenantErrorTest : public testing::TestWithParam<TenantRow> {};
 
-TEST_P(TenantErrorTest, NamesEntryFieldAndWhatWasExpected) {
+TEST_P(TenantErrorTest, ErrorNamesEntryFieldAndExpectedValue) {
   auto parsed = PlatformApi().parseReplacement("", withTenants(GetParam().specs));
   if (parsed.value) {
     parsed.error = validateTraffic(parsed.value->configuration).value_or("");
@@ -122,9 +123,9 @@
                   "tenant 't': api_keys: expected a list"},
         TenantRow{"key_no_text",
                   R"({"type":"tenants","meta":{"name":"t"},"spec":{"api_keys":[1]}})",
-                  "tenant 't': api_keys: expected texts that are not empty"},
+                  "tenant 't': api_keys: expected non-empty strings"},
         TenantRow{"key_empty", R"({"type":"tenants","meta":{"name":"t"},"spec":{"api_keys":[""]}})",
-                  "tenant 't': api_keys: expected texts that are not empty"},
+                  "tenant 't': api_keys: expected non-empty strings"},
         TenantRow{
             "rate_below_zero",
             R"({"type":"tenants","meta":{"name":"t"},"spec":{"api_keys":[],"rate_per_s":-1}})",
@@ -153,7 +154,7 @@
                   "route 'r': public: expected true or false"}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(PlatformApi, TellsKeysFromOtherCredentials) {
+TEST(PlatformApi, ParsesOnlyBearerCredentialsAsKeys) {
   const PlatformApi api;
   EXPECT_EQ(api.parseCredential({}).form, CredentialForm::kNone);
   EXPECT_EQ(api.parseCredential({"Bearer abc"}).key, "abc");
@@ -167,7 +168,7 @@
 struct LimitRow {
   const char* name;
   std::vector<std::string> values;
-  std::optional<double> rate;  ///< Of a limit that can be read.
+  std::optional<double> rate;  ///< Expected rate; std::nullopt if the limit is unreadable.
 };
 
 void PrintTo(const LimitRow& row, std::ostream* out) {
@@ -176,7 +177,7 @@
 
 class NamedLimitTest : public testing::TestWithParam<LimitRow> {};
 
-TEST_P(NamedLimitTest, IsADecimalNumberOfRequestsASecond) {
+TEST_P(NamedLimitTest, AcceptsOnlyOneDecimalNumberOfRequestsPerSecond) {
   const PlatformApi api;
   const named_limit named = api.parseLimit(GetParam().values);
   if (GetParam().rate) {
@@ -205,7 +206,7 @@
                     LimitRow{"two_points", {"1.2.3"}, std::nullopt},
                     LimitRow{"two_fields", {"12", "13"}, std::nullopt}));
 
-TEST(PlatformApi, ReadsWhatAServerSaysOfItself) {
+TEST(PlatformApi, ParsesLimitAndLeavingFieldsOfServer) {
   const PlatformApi api;
   EXPECT_TRUE(std::holds_alternative<no_limit>(api.parseLimit({})));
   EXPECT_FALSE(api.parseLeaving({}));
@@ -213,7 +214,7 @@
   EXPECT_TRUE(api.parseLeaving({"1"}));
 }
 
-TEST(PlatformApi, RevocationIsBoundedOnlyWhereItIsStrict) {
+TEST(PlatformApi, SetsRevocationBoundOnlyIfStrict) {
   const PlatformApi api;
   EXPECT_FALSE(api.parseBounds({"revoke_s=5"}).value->revocation);
   EXPECT_EQ(api.parseBounds({"revoke_s=4", "strict_revoke=true"}).value->revocation, seconds(4));
@@ -227,7 +228,7 @@
 
 struct BoundsRow {
   std::vector<std::string> texts;
-  std::string error;  ///< "" where they are right.
+  std::string error;  ///< Expected error; empty if the bounds are valid.
 };
 
 void PrintTo(const BoundsRow& row, std::ostream* out) {
@@ -236,7 +237,7 @@
 
 class BoundsTest : public testing::TestWithParam<BoundsRow> {};
 
-TEST_P(BoundsTest, AreReadOrRefusedWithTheirName) {
+TEST_P(BoundsTest, ErrorNamesInvalidBound) {
   EXPECT_EQ(PlatformApi().parseBounds(GetParam().texts).error, GetParam().error);
 }
 
@@ -266,30 +267,31 @@
   }
 }
 
-/// What the section for `table` in the template of a proxy's settings becomes, entry by entry, as
-/// the platform fills it in: {{@}} is the key, {{.}} the value.
-std::vector<std::string> filledIn(const std::string& table,
-                                  const std::vector<TemplateEntry>& entries) {
+/// Expands the section for `table` in the template of the proxy's settings, one string per entry,
+/// as the platform does: {{@}} is the key, {{.}} the value.
+std::vector<std::string> expandTemplate(const std::string& table,
+                                        const std::vector<TemplateEntry>& entries) {
   std::ifstream file(std::string(RAMPPOND_SOURCE_FOLDER) + "/deploy/proxy.toml.template");
   std::stringstream whole;
   whole << file.rdbuf();
   const std::string text = whole.str();
   const std::string begin = "{{#" + table + "}}\"";
   const std::size_t from = text.find(begin) + begin.size();
-  const std::string form = text.substr(from, text.find("\"{{,}}{{/" + table + "}}") - from);
-  std::vector<std::string> filled;
+  const std::string pattern = text.substr(from, text.find("\"{{,}}{{/" + table + "}}") - from);
+  std::vector<std::string> expanded;
   for (const TemplateEntry& entry : entries) {
-    filled.push_back(form);
-    replaceAll(filled.back(), "{{@}}", entry.key);
-    replaceAll(filled.back(), "{{.}}", entry.value);
+    expanded.push_back(pattern);
+    replaceAll(expanded.back(), "{{@}}", entry.key);
+    replaceAll(expanded.back(), "{{.}}", entry.value);
   }
-  return filled;
+  return expanded;
 }
 
-// Found on the bench: the template left out the names, so every daemon kept its defaults and ended
-// six seconds after SIGTERM where ten were given, with a request under way (LOST).
-TEST(PlatformApi, BoundsComeThroughTheTemplateOfTheSettings) {
-  const auto parsed = PlatformApi().parseBounds(filledIn(
+// Guards against a template that leaves out the names of the bounds: every daemon then kept its
+// defaults and ended 6 s after SIGTERM instead of the configured 10 s, which lost a request in
+// flight.
+TEST(PlatformApi, ParsesBoundsExpandedFromSettingsTemplate) {
+  const auto parsed = PlatformApi().parseBounds(expandTemplate(
       "bounds", {{"grace_s", "10"}, {"drain_timeout_s", "2.5"}, {"retry_budget_ratio", "0.3"}}));
   ASSERT_TRUE(parsed.value) << parsed.error;
   EXPECT_EQ(parsed.value->grace, seconds(10));
@@ -297,7 +299,7 @@
   EXPECT_EQ(parsed.value->retry_ratio, 0.3);
 }
 
-TEST(PlatformApi, ReadsAHeartbeat) {
+TEST(PlatformApi, ParsesHeartbeat) {
   const PlatformApi api;
   const auto parsed = api.parseHeartbeat(
       "i-1", R"({"address":"10.0.0.9:8080","info":{"service":"s1","version":"v1","zone":"z",
@@ -312,7 +314,7 @@
   EXPECT_FALSE(api.parseHeartbeat("i-1", "not json").value);
 }
 
-TEST(PlatformApi, TellsCallsApart) {
+TEST(PlatformApi, ClassifiesCallsByMethodAndPath) {
   const PlatformApi api;
   EXPECT_EQ(api.classify("GET", "/api/ready?x").type, ExternalCallType::kReadiness);
   const ExternalCall beat = api.classify("POST", "/api/instances/i-1/heartbeat");
@@ -325,8 +327,9 @@
   EXPECT_EQ(api.classify("POST", "/elsewhere").type, ExternalCallType::kUnknown);
 }
 
-// Whether `name` occurs other than as the end of a longer name, such as a header of our own.
-bool standsIn(const std::string& text, const std::string& name) {
+// Returns whether `name` occurs in `text`, other than as the end of a longer name such as one of
+// ramppond's own headers.
+bool containsName(const std::string& text, const std::string& name) {
   for (std::size_t at = text.find(name); at != std::string::npos; at = text.find(name, at + 1)) {
     if (at == 0 || text[at - 1] != '-') {
       return true;
@@ -335,7 +338,7 @@
   return false;
 }
 
-TEST(PlatformNames, StandNowhereElse) {
+TEST(PlatformNames, OccurOnlyInAdapter) {
   const std::vector<std::string> names = {
       "Deadline-Ms", "Caller-Service",  "Expect-Instance",   "Server-Stamp", "Base-Version",
       "/api/ready",  "/api/instances",  "/api/config",       "timeout_s",    "goal_s",
@@ -352,58 +355,58 @@
       std::stringstream text;
       text << file.rdbuf();
       for (const std::string& name : names) {
-        EXPECT_FALSE(standsIn(text.str(), name)) << name << " in " << entry.path();
+        EXPECT_FALSE(containsName(text.str(), name)) << name << " in " << entry.path();
       }
     }
   }
 }
 
-struct ReportRow {
+struct HeartbeatRow {
   const char* name;
   const char* body;
   const char* error;
 };
 
-void PrintTo(const ReportRow& row, std::ostream* out) {
+void PrintTo(const HeartbeatRow& row, std::ostream* out) {
   *out << row.name;
 }
 
-class HeartbeatOfAnotherWriterTest : public testing::TestWithParam<ReportRow> {};
+class MalformedHeartbeatTest : public testing::TestWithParam<HeartbeatRow> {};
 
-TEST_P(HeartbeatOfAnotherWriterTest, NamesTheFieldAndWhatWasExpected) {
+TEST_P(MalformedHeartbeatTest, ErrorNamesFieldAndExpectedValue) {
   const auto parsed = PlatformApi().parseHeartbeat("i-1", GetParam().body);
   EXPECT_FALSE(parsed.value);
   EXPECT_NE(parsed.error.find(GetParam().error), std::string::npos) << parsed.error;
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Rows, HeartbeatOfAnotherWriterTest,
-    testing::Values(ReportRow{"bytes", "\x01\xff\xfe", "parse error"},
-                    ReportRow{"empty", "", "parse error"},
-                    ReportRow{"list", "[1]", "heartbeat: expected an object"},
-                    ReportRow{"no_info", R"({"address":"a:1","status":{}})",
-                              "heartbeat: info: missing"},
-                    ReportRow{"info_of_another_type", R"({"address":"a:1","info":7,"status":{}})",
-                              "heartbeat: expected an object"},
-                    ReportRow{"slots_as_text",
-                              R"({"address":"a:1","info":{"service":"s","slots":"9"},
+    Rows, MalformedHeartbeatTest,
+    testing::Values(
+        HeartbeatRow{"bytes", "\x01\xff\xfe", "parse error"},
+        HeartbeatRow{"empty", "", "parse error"},
+        HeartbeatRow{"list", "[1]", "heartbeat: expected an object"},
+        HeartbeatRow{"no_info", R"({"address":"a:1","status":{}})", "heartbeat: info: missing"},
+        HeartbeatRow{"info_of_another_type", R"({"address":"a:1","info":7,"status":{}})",
+                     "heartbeat: expected an object"},
+        HeartbeatRow{"slots_as_text",
+                     R"({"address":"a:1","info":{"service":"s","slots":"9"},
                       "status":{"state":"ready","seq":1}})",
-                              "heartbeat: slots: expected a number"},
-                    ReportRow{"unknown_state",
-                              R"({"address":"a:1","info":{"service":"s","slots":9},
+                     "heartbeat: slots: expected a number"},
+        HeartbeatRow{"unknown_state",
+                     R"({"address":"a:1","info":{"service":"s","slots":9},
                       "status":{"state":"resting","seq":1}})",
-                              "heartbeat: state: expected ready or draining"},
-                    ReportRow{"start_as_text",
-                              R"({"address":"a:1","born":"7","info":{"service":"s","slots":9},
+                     "heartbeat: state: expected ready or draining"},
+        HeartbeatRow{"start_as_text",
+                     R"({"address":"a:1","born":"7","info":{"service":"s","slots":9},
                       "status":{"state":"ready","seq":1}})",
-                              "heartbeat: born: expected a whole number of milliseconds"},
-                    ReportRow{"start_with_a_fraction",
-                              R"({"address":"a:1","born":7.5,"info":{"service":"s","slots":9},
+                     "heartbeat: born: expected a whole number of milliseconds"},
+        HeartbeatRow{"start_with_a_fraction",
+                     R"({"address":"a:1","born":7.5,"info":{"service":"s","slots":9},
                       "status":{"state":"ready","seq":1}})",
-                              "heartbeat: born: expected a whole number of milliseconds"}),
+                     "heartbeat: born: expected a whole number of milliseconds"}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(PlatformApi, ReadsWhenAServerStarted) {
+TEST(PlatformApi, ParsesStartTimeOfServer) {
   const PlatformApi api;
   const auto beat = api.parseHeartbeat(
       "i-1", R"({"address":"a:1","born":1791000000123,"info":{"service":"s","slots":9},
--- a/tests/platform/server_limit_day_test.cc
+++ b/tests/platform/server_limit_test.cc
@@ -1,4 +1,5 @@
-// Servers that say in their answers how much they take, or that they leave, with real processes.
+// Servers whose answers announce a request limit or that the server is leaving, with real
+// processes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,12 +12,13 @@
 
 constexpr Duration kSecond = seconds(1);
 constexpr Duration kWindow = 4 * kSecond;
-constexpr Duration kBurst = milliseconds(250);  ///< What a server may get at once, as a time.
+constexpr Duration kBurst =
+    milliseconds(250);  ///< Allowed burst, as the time in which the limit permits it.
 constexpr Duration kDrainTimeout = seconds(2);
-constexpr Duration kBetweenRequests = milliseconds(5);
+constexpr Duration kRequestInterval = milliseconds(5);
 
-/// The most arrivals in any span of kWindow that begins at `from` or later.
-std::size_t mostInAWindow(const std::vector<TimePoint>& arrivals, TimePoint from) {
+/// Returns the maximum number of arrivals in any span of kWindow that begins at `from` or later.
+std::size_t maxArrivalsInWindow(const std::vector<TimePoint>& arrivals, TimePoint from) {
   std::size_t most = 0;
   auto first = std::lower_bound(arrivals.begin(), arrivals.end(), from);
   for (auto last = first; last != arrivals.end(); ++last) {
@@ -28,16 +30,17 @@
   return most;
 }
 
-/// What a server that names `limit` requests a second may get in any span of kWindow.
-double allowed(double limit) {
+/// Returns the maximum number of requests in any span of kWindow for a server with a limit of
+/// `limit` requests per second.
+double maxAllowedArrivals(double limit) {
   return limit * static_cast<double>((kWindow + kBurst).count()) /
              static_cast<double>(kSecond.count()) +
          1;
 }
 
-class ServerLimitDay : public ForwardingTest {
+class ServerLimitTest : public ForwardingTest {
  protected:
-  /// Every proxy knows both servers of the service.
+  /// Waits until every proxy can reach both servers of the service.
   void SetUp() override {
     ForwardingTest::SetUp();
     for (int machine = 0; machine < Deployment::kServerMachines; ++machine) {
@@ -47,14 +50,15 @@
       }
     }
   }
-  /// Whether a request that begins on the machine ran at the server.
+  /// Sends a request from the machine; returns whether it ran at the server.
   bool reaches(int machine, const AppServer& server) {
     const std::string id = "reach-" + std::to_string(next_++);
     deployment_.send(machine, request("/one/x", id));
     return server.runs.count(id) == 1;
   }
-  /// Requests at all machines in turn, whether or not earlier ones are answered.
-  void press(const std::string& target, Duration time) {
+  /// Sends requests from all machines in turn at a fixed rate, whether or not earlier ones are
+  /// answered.
+  void sendContinuously(const std::string& target, Duration time) {
     const TimePoint end = EventLoop::now() + time;
     while (EventLoop::now() < end) {
       const std::uint64_t number = next_++;
@@ -62,10 +66,10 @@
                             request(target, "press-" + std::to_string(number)),
                             [this](const Answer& answer) { statuses_[answer.status] += 1; });
       sent_ += 1;
-      deployment_.runFor(kBetweenRequests);
+      deployment_.runFor(kRequestInterval);
     }
   }
-  void settle() {
+  void waitForAnswers() {
     EXPECT_TRUE(deployment_.runUntil([this] {
       int answered = 0;
       for (const auto& [status, count] : statuses_) {
@@ -75,91 +79,95 @@
     }));
   }
 
-  std::map<int, int> statuses_;  ///< Of the answers to press().
+  std::map<int, int> statuses_;  ///< Number of answers by status.
   int sent_ = 0;
 };
 
-TEST_F(ServerLimitDay, AServerThatNamesALimitGetsNoMoreFromAllProxiesTogether) {
+TEST_F(ServerLimitTest, AllProxiesTogetherKeepServerLimit) {
   constexpr double kLimit = 10;
   AppServer& limited = *deployment_.servers[0];
   limited.named_limit = "10.0";
-  press("/one/x", milliseconds(500));
+  sendContinuously("/one/x", milliseconds(500));
   const TimePoint known = EventLoop::now();
-  press("/one/x", seconds(6));
-  settle();
-  EXPECT_LE(static_cast<double>(mostInAWindow(limited.arrivals, known)), allowed(kLimit));
+  sendContinuously("/one/x", seconds(6));
+  waitForAnswers();
+  EXPECT_LE(static_cast<double>(maxArrivalsInWindow(limited.arrivals, known)),
+            maxAllowedArrivals(kLimit));
   RecordProperty("arrivals", static_cast<int>(limited.arrivals.size()));
-  RecordProperty("most", static_cast<int>(mostInAWindow(limited.arrivals, known)));
+  RecordProperty("most", static_cast<int>(maxArrivalsInWindow(limited.arrivals, known)));
   RecordProperty("sent", sent_);
-  // The other server of the service has room for all.
+  // The other server of the service has room for the remaining requests.
   EXPECT_EQ(statuses_[200], sent_);
 }
 
-TEST_F(ServerLimitDay, AProxyThatStartsAnewBesideALimitedServerKeepsTheLimit) {
+TEST_F(ServerLimitTest, RestartedProxyKeepsLimitOfItsServer) {
   constexpr double kLimit = 5;
   AppServer& limited = *deployment_.servers[0];
   limited.named_limit = "5";
   limited.work = milliseconds(400);
-  press("/one/x", seconds(1));
+  sendContinuously("/one/x", seconds(1));
   const TimePoint known = EventLoop::now();
-  press("/one/x", seconds(2));
+  sendContinuously("/one/x", seconds(2));
   deployment_.proxies[0].reset();
   deployment_.startProxy(0);
-  press("/one/x", seconds(4));
-  EXPECT_LE(static_cast<double>(mostInAWindow(limited.arrivals, known)), allowed(kLimit));
+  sendContinuously("/one/x", seconds(4));
+  EXPECT_LE(static_cast<double>(maxArrivalsInWindow(limited.arrivals, known)),
+            maxAllowedArrivals(kLimit));
 }
 
-TEST_F(ServerLimitDay, ALimitThatCannotBeReadChangesNothingAndOneThatIsNamedNoMoreEnds) {
+TEST_F(ServerLimitTest, UnreadableLimitIsIgnoredAndOmittedLimitEnds) {
   constexpr double kLimit = 5;
   constexpr std::size_t kManyMore = 50;
   AppServer& limited = *deployment_.servers[0];
   AppServer& other =
-      *deployment_.servers[2];  // The whole service is in need: nobody else has room.
+      *deployment_.servers[2];  // Also limited, so that no server of the service has spare room.
   limited.named_limit = "5";
   other.named_limit = "5";
-  press("/one/x", milliseconds(500));
+  sendContinuously("/one/x", milliseconds(500));
   const TimePoint known = EventLoop::now();
   limited.named_limit = "many";
-  press("/one/x", seconds(3));
-  EXPECT_LE(static_cast<double>(mostInAWindow(limited.arrivals, known)), allowed(kLimit));
+  sendContinuously("/one/x", seconds(3));
+  EXPECT_LE(static_cast<double>(maxArrivalsInWindow(limited.arrivals, known)),
+            maxAllowedArrivals(kLimit));
   limited.named_limit.clear();
   other.named_limit.clear();
   const std::size_t before = limited.arrivals.size();
   EXPECT_TRUE(deployment_.runUntil([&] {
-    press("/one/x", milliseconds(50));
+    sendContinuously("/one/x", milliseconds(50));
     return limited.arrivals.size() > before + kManyMore;
   }));
 }
 
-TEST_F(ServerLimitDay, AServerThatSaysInItsAnswersThatItIsLeavingGetsNothingNew) {
+TEST_F(ServerLimitTest, ServerThatAnnouncesLeavingGetsNoNewRequests) {
   AppServer& leaving = *deployment_.servers[0];
-  leaving.says_leaving = true;
-  press("/one/x", milliseconds(500));
+  leaving.reports_leaving = true;
+  sendContinuously("/one/x", milliseconds(500));
   deployment_.runFor(kDrainTimeout);
   const std::size_t before = leaving.arrivals.size();
-  press("/one/x", milliseconds(500));
+  sendContinuously("/one/x", milliseconds(500));
   EXPECT_EQ(leaving.arrivals.size(), before);
 }
 
-// The proxy that starts anew beside the server takes it for ready, as its heartbeats say.
-TEST_F(ServerLimitDay, AMachineThatPassedOnThatAServerLeavesSendsItNothingWhateverItsProxySays) {
+// The restarted proxy of the server considers it ready, as its heartbeats say. Machines that have
+// forwarded an answer that announced leaving must still send the server nothing.
+TEST_F(ServerLimitTest, MachineThatSawLeavingSendsNothingAfterProxyRestart) {
   AppServer& leaving = *deployment_.servers[0];
-  leaving.says_leaving = true;
+  leaving.reports_leaving = true;
   std::set<int> told;
   for (int number = 0; number < 60; ++number) {
     const int machine = 1 + number % 3;
     const std::string id = "told-" + std::to_string(number);
-    if (deployment_.send(machine, request("/one/x", id)).says_leaving) {
+    if (deployment_.send(machine, request("/one/x", id)).reports_leaving) {
       told.insert(machine);
     }
   }
   ASSERT_FALSE(told.empty());
   deployment_.runFor(kDrainTimeout);
   const std::size_t before = leaving.arrivals.size();
-  const std::size_t beats = leaving.beats_acknowledged;
+  const std::size_t beats = leaving.heartbeats_acknowledged;
   deployment_.proxies[0].reset();
   deployment_.startProxy(0);
-  ASSERT_TRUE(deployment_.runUntil([&] { return leaving.beats_acknowledged > beats + 2; }));
+  ASSERT_TRUE(deployment_.runUntil([&] { return leaving.heartbeats_acknowledged > beats + 2; }));
   for (int number = 0; number < 60; ++number) {
     for (const int machine : told) {
       const std::string id = "after-" + std::to_string(machine) + "-" + std::to_string(number);
--- a/tests/platform/unfit_servers_day_test.cc
+++ b/tests/platform/unavailable_servers_test.cc
@@ -1,4 +1,4 @@
-// Requests whose servers are frozen, leaving, full or not there, with real processes.
+// Requests whose servers are frozen, draining or unavailable, with real processes.
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -8,14 +8,14 @@
 namespace ramppond::fake_platform {
 namespace {
 
-// A process that stands still keeps its connections; only its silence tells.
-TEST_F(ForwardingTest, AFrozenDaemonIsLeftAndItsRequestsGoElsewhere) {
+// A frozen process keeps its connections open, so only a timeout detects it.
+TEST_F(ForwardingTest, RequestsToFrozenDaemonAreRetriedElsewhere) {
   constexpr int kClients = 1;
   constexpr std::size_t kFrozen = 2;
   constexpr std::size_t kRequests = 4;
-  for (int earned = 0; earned < 60; ++earned) {  // Repeats are paid for by first sends.
+  for (int warmup = 0; warmup < 60; ++warmup) {  // First attempts fill the retry budget.
     ASSERT_EQ(
-        deployment_.send(kClients, request("/one/e", "earn-" + std::to_string(earned))).status,
+        deployment_.send(kClients, request("/one/e", "earn-" + std::to_string(warmup))).status,
         200);
   }
   deployment_.proxies[kFrozen]->signal(SIGSTOP);
@@ -27,7 +27,7 @@
   }
   EXPECT_TRUE(deployment_.runUntil([&] { return answers.size() == kRequests; }));
   deployment_.proxies[kFrozen]->signal(SIGCONT);
-  // The heartbeats that waited there are answered before the day ends.
+  // Pending heartbeats of the resumed daemon are answered before the test ends.
   EXPECT_EQ(deployment_.send(static_cast<int>(kFrozen), request("/one/a", "awake")).status, 200);
   deployment_.runFor(milliseconds(300));
   for (const auto& [id, answer] : answers) {
@@ -35,13 +35,13 @@
   }
 }
 
-// What may not be repeated is complete at a daemon only once there is room for it: a daemon that
-// stands still cannot have run it.
-TEST_F(ForwardingTest, WhatMayNotBeRepeatedIsNotLostWithAFrozenDaemon) {
+// An unsafe request is sent completely to a daemon only once there is room for it there. A frozen
+// daemon therefore cannot have run it, and another daemon may take it.
+TEST_F(ForwardingTest, UnsafeRequestsToFrozenDaemonAreServedOnceElsewhere) {
   constexpr int kClients = 0;
   constexpr std::size_t kFrozen = 1;
-  // As many as the other server is given at a time: all may come to it at once, with no patience
-  // left, when they are called back from the one that stands still.
+  // No more than the other server is given at a time: when they are recalled from the frozen daemon
+  // they may all arrive there at once, with no time left to wait in a queue.
   constexpr std::size_t kRequests = 7;
   deployment_.proxies[kFrozen]->signal(SIGSTOP);
   std::map<std::string, Answer> answers;
@@ -63,7 +63,7 @@
   }
 }
 
-TEST_F(ForwardingTest, ALeavingServerGetsNothingNew) {
+TEST_F(ForwardingTest, DrainingServerGetsNoNewRequests) {
   deployment_.servers[0]->beat("draining");
   deployment_.runFor(milliseconds(1500));
   const std::size_t before = deployment_.servers[0]->runs.size();
@@ -75,7 +75,7 @@
   EXPECT_EQ(deployment_.servers[0]->runs.size(), before);
 }
 
-TEST_F(ForwardingTest, ARequestWaitsShortlyForAServerThatComesBack) {
+TEST_F(ForwardingTest, RequestIsServedWhenServerBecomesReadyInTime) {
   deployment_.servers[1]->beat("draining");
   deployment_.servers[3]->beat("draining");
   deployment_.runFor(milliseconds(1500));
@@ -92,7 +92,7 @@
   EXPECT_EQ(runsOf("wait"), 1);
 }
 
-TEST_F(ForwardingTest, WithoutAServerTheRequestIsNotRunAndTheClientIsToldWhenToComeBack) {
+TEST_F(ForwardingTest, RequestWithoutReadyServerIsNotRunAndGetsRetryAfter) {
   for (const std::size_t machine : {std::size_t{1}, std::size_t{3}}) {
     deployment_.servers[machine]->beat("draining");
   }
