--- a/daemon/daemon_main.cc
+++ b/daemon/daemon_main.cc
@@ -1,4 +1,5 @@
-// ramppond-daemon: stands before one back end and carries its calls and those of callers.
+// Entry point of ramppond-daemon, which proxies the inbound and outbound calls of one back end and
+// the requests of external callers.
 #include "common/logging.h"
 #include "common/process.h"
 #include "common/program.h"
@@ -33,9 +34,11 @@
   spec.program = "ramppond-daemon";
   spec.synopsis = "--config FILE [options]";
   spec.description =
-      "Takes calls for its own back end (admission, queue, dispatch) and sends the back end's own\n"
-      "calls onward (routing, retries, deadlines); also the front door for callers. SIGTERM stops\n"
-      "it without cutting off a request.";
+      "Receives calls for its back end (admission, queue, dispatch) and sends the calls that the "
+      "back\n"
+      "end makes (routing, retries, deadlines). Also accepts requests of external callers. "
+      "SIGTERM\n"
+      "drains it: requests in flight are completed.";
   spec.options = commonOptions();
   spec.options.push_back({"log-format", "text|json", "overrides log_format of the file"});
   spec.options.push_back({"zone", "NAME", "overrides zone of the file"});
--- a/daemon/daemon_metrics.h
+++ b/daemon/daemon_metrics.h
@@ -1,4 +1,4 @@
-// What ramppond-daemon shows of itself.
+// Metrics page of ramppond-daemon.
 #pragma once
 
 #include "common/metrics.h"
@@ -6,7 +6,7 @@
 
 namespace ramppond {
 
-/// Counters and gauges of the call path and of the process.
+/// Returns the counters and gauges of the call path and of the process.
 MetricsPage daemonMetrics(const DaemonCore& core);
 
 }  // namespace ramppond
--- a/daemon/daemon_process.cc
+++ b/daemon/daemon_process.cc
@@ -23,13 +23,13 @@
 
 constexpr auto kTickInterval = std::chrono::milliseconds(5);
 constexpr char kConfigurationFile[] = "configuration";
-// A peer adds its envelope to a body of the largest size.
+// A peer wraps a body of up to the maximum size in an envelope of at most this size.
 constexpr std::size_t kEnvelopeBytes = 65536;
-// After a planned stop's last answer the kernel still has to send it.
-constexpr auto kFlushPause = std::chrono::milliseconds(100);
+// After the last answer of a graceful shutdown, gives the kernel time to send it.
+constexpr auto kFlushDelay = std::chrono::milliseconds(100);
 constexpr int kBackendShedStatus = 503;
 
-DaemonOptions coreOptions(const DaemonSettings& settings) {
+DaemonOptions makeCoreOptions(const DaemonSettings& settings) {
   DaemonOptions options;
   options.server = settings.server;
   options.service = settings.service;
@@ -44,7 +44,7 @@
   return options;
 }
 
-HttpServerOptions serverOptions(const Endpoint& listen, std::size_t body_bytes) {
+HttpServerOptions makeServerOptions(const Endpoint& listen, std::size_t body_bytes) {
   HttpServerOptions options;
   options.listen = listen;
   options.maximum_request_bytes = body_bytes + kEnvelopeBytes;
@@ -54,13 +54,14 @@
 }  // namespace
 
 // `mutex_` guards the core and the maps between its ids and those of servers and clients. Actions
-// are carried out under it: each only hands work to a queue. The servers' disconnection events
-// come on threads that may hold a server's lock, so they pass through `gone_mutex_` and the ticker.
+// are executed under it, which is short because each only adds work to a queue. Servers report
+// disconnects on threads that may hold the server's lock, so these are queued under
+// `disconnects_mutex_` and handled by the ticker thread, to avoid a deadlock.
 class DaemonProcess::Impl {
  public:
   explicit Impl(DaemonSettings settings)
       : settings_(std::move(settings)),
-        core_(coreOptions(settings_)),
+        core_(makeCoreOptions(settings_)),
         peers_(HttpClientOptions{}),
         backend_(HttpClientOptions{settings_.backend_connections, milliseconds(500)}),
         control_(HttpClientOptions{}) {
@@ -74,9 +75,9 @@
   void stop();
 
  private:
-  enum class GoneKind { kFront, kEgress, kPeer };
-  struct Gone {
-    GoneKind kind;
+  enum class DisconnectSource { kFront, kEgress, kPeer };
+  struct Disconnect {
+    DisconnectSource kind;
     HttpToken token;
   };
 
@@ -84,12 +85,12 @@
   void onFront(HttpToken token, const HttpRequest& request);
   void onEgress(HttpToken token, const HttpRequest& request);
   void onPeer(HttpToken token, const HttpRequest& request);
-  void onGone(GoneKind kind, HttpToken token);
-  void handleGone(DaemonActions& actions, TimePoint now);
+  void onDisconnect(DisconnectSource kind, HttpToken token);
+  void handleDisconnects(DaemonActions& actions, TimePoint now);
   void tickLoop();
   MetricsPage metrics();
 
-  // Runs `event` on the core and carries out the actions.
+  // Runs `event` on the core and executes the resulting actions.
   template <class Event>
   void withCore(Event event) {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -107,12 +108,12 @@
   void perform(AnswerRequest& action);
   void perform(SendToControl& action);
   void perform(SaveConfiguration& action);
-  named_limit limitOf(const HttpClientResult& result);
+  named_limit parseBackendLimit(const HttpClientResult& result);
   void onBackendResult(const CallId& id, const HttpClientResult& result);
   void onPeerResult(const CallId& id, const HttpClientResult& result);
   void loadSavedConfiguration();
 
-  // Tokens of the core: the low bit tells the two requesters apart.
+  // Request tokens of the core: the low bit distinguishes front (0) from egress (1) requests.
   static RequestToken frontToken(HttpToken token) { return token * 2; }
   static RequestToken egressToken(HttpToken token) { return token * 2 + 1; }
 
@@ -122,10 +123,10 @@
   std::unordered_map<CallId, HttpToken, CallIdHash> peer_tokens_;
   std::unordered_map<HttpToken, CallId> peer_calls_;
   std::unordered_map<CallId, std::uint64_t, CallIdHash> backend_requests_;
-  std::string unreadable_limit_;  ///< Why the limit of the last answer could not be read.
+  std::string limit_parse_error_;  ///< Of the last answer of the back end; empty if it was valid.
   std::unordered_map<CallId, std::uint64_t, CallIdHash> peer_requests_;
-  std::mutex gone_mutex_;
-  std::vector<Gone> gone_;
+  std::mutex disconnects_mutex_;
+  std::vector<Disconnect> disconnects_;
   std::unique_ptr<PosixFileSystem> files_;
   std::unique_ptr<HttpServer> front_server_;
   std::unique_ptr<HttpServer> egress_server_;
@@ -141,17 +142,17 @@
 void DaemonProcess::Impl::makeServers() {
   const std::size_t body = settings_.maximum_body_bytes;
   front_server_ = std::make_unique<HttpServer>(
-      serverOptions(settings_.front, body),
+      makeServerOptions(settings_.front, body),
       [this](HttpToken token, const HttpRequest& request) { onFront(token, request); },
-      [this](HttpToken token) { onGone(GoneKind::kFront, token); });
+      [this](HttpToken token) { onDisconnect(DisconnectSource::kFront, token); });
   egress_server_ = std::make_unique<HttpServer>(
-      serverOptions(settings_.egress, body),
+      makeServerOptions(settings_.egress, body),
       [this](HttpToken token, const HttpRequest& request) { onEgress(token, request); },
-      [this](HttpToken token) { onGone(GoneKind::kEgress, token); });
+      [this](HttpToken token) { onDisconnect(DisconnectSource::kEgress, token); });
   peer_server_ = std::make_unique<HttpServer>(
-      serverOptions(settings_.peer, body + kEnvelopeBytes),
+      makeServerOptions(settings_.peer, body + kEnvelopeBytes),
       [this](HttpToken token, const HttpRequest& request) { onPeer(token, request); },
-      [this](HttpToken token) { onGone(GoneKind::kPeer, token); });
+      [this](HttpToken token) { onDisconnect(DisconnectSource::kPeer, token); });
   admin_ = std::make_unique<AdminPages>(settings_.admin, "ramppond-daemon " + settings_.server,
                                         [this] { return metrics(); });
   admin_->onPost("/drain", [this](const std::string&) {
@@ -203,7 +204,7 @@
       break;
     }
   }
-  std::this_thread::sleep_for(kFlushPause);
+  std::this_thread::sleep_for(kFlushDelay);
   stop();
   logChange("stopped", {});
 }
@@ -226,7 +227,7 @@
   while (!stopping_) {
     std::this_thread::sleep_for(kTickInterval);
     withCore([&](DaemonActions& actions, TimePoint now) {
-      handleGone(actions, now);
+      handleDisconnects(actions, now);
       core_.tick(now, actions);
       const ControlSession& session = core_.session();
       const std::string current = session.configuration().version.toString();
@@ -240,21 +241,21 @@
   }
 }
 
-void DaemonProcess::Impl::onGone(GoneKind kind, HttpToken token) {
-  const std::lock_guard<std::mutex> lock(gone_mutex_);
-  gone_.push_back({kind, token});
+void DaemonProcess::Impl::onDisconnect(DisconnectSource kind, HttpToken token) {
+  const std::lock_guard<std::mutex> lock(disconnects_mutex_);
+  disconnects_.push_back({kind, token});
 }
 
-void DaemonProcess::Impl::handleGone(DaemonActions& actions, TimePoint now) {
-  std::vector<Gone> gone;
+void DaemonProcess::Impl::handleDisconnects(DaemonActions& actions, TimePoint now) {
+  std::vector<Disconnect> disconnects;
   {
-    const std::lock_guard<std::mutex> lock(gone_mutex_);
-    gone.swap(gone_);
+    const std::lock_guard<std::mutex> lock(disconnects_mutex_);
+    disconnects.swap(disconnects_);
   }
-  for (const Gone& event : gone) {
-    if (event.kind == GoneKind::kFront) {
+  for (const Disconnect& event : disconnects) {
+    if (event.kind == DisconnectSource::kFront) {
       core_.onRequesterGone(frontToken(event.token), now, actions);
-    } else if (event.kind == GoneKind::kEgress) {
+    } else if (event.kind == DisconnectSource::kEgress) {
       core_.onRequesterGone(egressToken(event.token), now, actions);
     } else {
       const auto call = peer_calls_.find(event.token);
@@ -304,7 +305,7 @@
   }
   withCore([&](DaemonActions& actions, TimePoint now) {
     if (!peer_tokens_.emplace(call->id, token).second) {
-      // A copy of a call that is under way: the first one keeps its connection for the answer.
+      // Duplicate of a call in flight: the answer goes to the connection of the first one.
       HttpResponse response;
       response.content_type = kCborType;
       response.body = encode(errorCallAnswer(call->id, ErrorKind::kDuplicateCall));
@@ -327,7 +328,7 @@
     request.headers.push_back({"Content-Type", action.payload.content_type});
   }
   request.body = std::move(action.payload.body);
-  request.timeout = kMaximumDeadline * 2;  // The core decides when to give up.
+  request.timeout = kMaximumDeadline * 2;  // The core enforces the deadline.
   request.fresh_connection = !action.repeatable;
   const CallId id = action.id;
   backend_requests_[id] =
@@ -335,16 +336,16 @@
                     [this, id](const HttpClientResult& result) { onBackendResult(id, result); });
 }
 
-named_limit DaemonProcess::Impl::limitOf(const HttpClientResult& result) {
+named_limit DaemonProcess::Impl::parseBackendLimit(const HttpClientResult& result) {
   const std::string value = result.header(headers::kLimit);
   const std::vector<std::string> values(value.empty() ? 0 : 1, value);
   named_limit named = parse_limit(headers::kLimit, values);
   const auto* unreadable = std::get_if<unreadable_limit>(&named);
   const std::string reason = unreadable == nullptr ? std::string() : unreadable->reason;
-  if (!reason.empty() && reason != unreadable_limit_) {
+  if (!reason.empty() && reason != limit_parse_error_) {
     logChange("backend_limit_unreadable", {{"reason", reason}});
   }
-  unreadable_limit_ = reason;
+  limit_parse_error_ = reason;
   return named;
 }
 
@@ -360,8 +361,8 @@
     answer.content_type = result.header("Content-Type");
     answer.body = result.body;
     answer.draining = !result.header(headers::kDraining).empty();
-    answer.limit = limitOf(result);
-    // A back end that sheds says so with this status and names the outcome.
+    answer.limit = parseBackendLimit(result);
+    // A back end that sheds load answers with this status and sets the outcome field.
     answer.refused = result.status == kBackendShedStatus &&
                      result.header(headers::kOutcome) == outcomeName(Outcome::kNotRun);
     const std::optional<request_rate> before = core_.inbound().rateLimit();
@@ -432,7 +433,7 @@
 void DaemonProcess::Impl::perform(AnswerRequest& action) {
   HttpServer& server = action.token % 2 == 0 ? *front_server_ : *egress_server_;
   HttpResponse response = responseOf(action.answer);
-  // Callers find the other servers before this one closes its port.
+  // While draining, callers reconnect to other servers before this one closes its port.
   response.close_connection = core_.inbound().draining();
   server.respond(action.token / 2, std::move(response));
 }
--- a/daemon/daemon_process.h
+++ b/daemon/daemon_process.h
@@ -1,4 +1,5 @@
-// ramppond-daemon: carries out what DaemonCore decides, by HTTP.
+// The ramppond-daemon process: executes the actions that DaemonCore decides on, over HTTP. Owns the
+// core, the HTTP servers and clients, and the thread that drives timers.
 #pragma once
 
 #include <memory>
@@ -16,9 +17,10 @@
   DaemonProcess(const DaemonProcess&) = delete;
   DaemonProcess& operator=(const DaemonProcess&) = delete;
 
-  /// Starts to listen and to work. Nothing on success, else the reason.
+  /// Loads the saved configuration and starts the servers. Returns the reason on failure, else
+  /// std::nullopt.
   std::optional<std::string> start();
-  /// Planned stop: refuses new work, finishes what is under way, then returns.
+  /// Graceful shutdown: refuses new calls, waits for those in flight, then stops the servers.
   void drainAndStop();
 
  private:
--- a/daemon/daemon_settings.cc
+++ b/daemon/daemon_settings.cc
@@ -6,12 +6,12 @@
 namespace {
 
 constexpr IntegerRange kSlotRange = {1, 100000};
-constexpr IntegerRange kBodyRange = {1024, 64LL << 20};
+constexpr IntegerRange kBodyBytesRange = {1024, 64LL << 20};
 constexpr IntegerRange kConnectionRange = {1, 100000};
-constexpr std::int64_t kDefaultMaximumBody = 2LL << 20;
+constexpr std::int64_t kDefaultMaximumBodyBytes = 2LL << 20;
 constexpr std::int64_t kDefaultConnections = 110;
 
-std::vector<std::string> addresses(SettingsTable& table, const std::string& key) {
+std::vector<std::string> requiredAddresses(SettingsTable& table, const std::string& key) {
   std::vector<std::string> values = table.strings(key);
   if (values.empty()) {
     table.reject(key, "expected at least one IPv4:PORT");
@@ -24,7 +24,7 @@
   return values;
 }
 
-DaemonSettings settingsOf(SettingsTable& root) {
+DaemonSettings parseSettings(SettingsTable& root) {
   DaemonSettings settings;
   settings.server = root.requiredString("server");
   settings.service = root.requiredString("service");
@@ -35,13 +35,13 @@
   settings.egress = endpointSetting(root, "egress_address", "");
   settings.admin = endpointSetting(root, "admin_address", "");
   settings.backend = endpointSetting(root, "backend_address", "");
-  settings.control = addresses(root, "control");
+  settings.control = requiredAddresses(root, "control");
   settings.subscriptions = root.strings("subscriptions");
   settings.data_folder = root.optionalString("data_folder", "");
   settings.policy = root.choice("policy", overloadPolicyNames());
   settings.log_format = parseLogFormat(root.choice("log_format", {"text", "json"}));
   settings.maximum_body_bytes = static_cast<std::size_t>(
-      root.optionalInteger("maximum_body_bytes", kDefaultMaximumBody, kBodyRange));
+      root.optionalInteger("maximum_body_bytes", kDefaultMaximumBodyBytes, kBodyBytesRange));
   settings.backend_connections = static_cast<std::size_t>(
       root.optionalInteger("backend_connections", kDefaultConnections, kConnectionRange));
   return settings;
@@ -50,7 +50,7 @@
 }  // namespace
 
 std::optional<DaemonSettings> readDaemonSettings(const std::string& path, std::string& error) {
-  return readSettingsFile(path, error, settingsOf);
+  return readSettingsFile(path, error, parseSettings);
 }
 
 }  // namespace ramppond
