--- a/control/control_main.cc
+++ b/control/control_main.cc
@@ -1,4 +1,4 @@
-// ramppond-control: a member of the replicated control group.
+// Entry point of ramppond-control, a member of the replicated control group.
 #include "common/logging.h"
 #include "common/process.h"
 #include "common/program.h"
@@ -34,7 +34,8 @@
   spec.synopsis = "--config FILE [options]";
   spec.description =
       "Keeps classes, plans, configuration versions and at-most-once claims in a replicated log,\n"
-      "and gives daemons what is in force. A new group starts with 'ramppond bootstrap'.";
+      "and distributes the configuration in force to daemons. A new group starts with 'ramppond "
+      "bootstrap'.";
   spec.options = commonOptions();
   spec.options.push_back({"log-format", "text|json", "overrides log_format of the file"});
   spec.options.push_back({"data-folder", "PATH", "overrides data_folder of the file"});
--- a/control/control_metrics.cc
+++ b/control/control_metrics.cc
@@ -8,7 +8,7 @@
   const ControlStatus status = core.status(now);
   const ControlCounters& counters = core.counters();
   std::uint64_t silent = 0;
-  constexpr std::uint64_t kSilentMs = 5000;
+  constexpr std::uint64_t kSilentMs = 5000;  // Also named in the help text of the metric below.
   for (const MemberStatus& member : status.members) {
     const bool self = member.member.id == status.self;
     const bool leads = core.raft().role() == RaftRole::kLeader;
@@ -23,7 +23,7 @@
              static_cast<double>(status.members.size()));
   page.gauge("control_members_silent", "Members the leader has not heard for 5 s.",
              static_cast<double>(silent));
-  page.gauge("control_held_polls", "Daemons waiting for news.",
+  page.gauge("control_held_polls", "Polls of daemons that wait for changes.",
              static_cast<double>(core.heldPolls()));
   page.gauge("control_servers_listed", "Servers on the platform's list.",
              static_cast<double>(core.listedServers()));
--- a/control/control_metrics.h
+++ b/control/control_metrics.h
@@ -1,4 +1,4 @@
-// What ramppond-control shows of itself.
+// Metrics page of ramppond-control.
 #pragma once
 
 #include "common/metrics.h"
@@ -7,8 +7,8 @@
 
 namespace ramppond {
 
-/// Counters and gauges of the member, its storage and the process. `polls_refused`: daemons' polls
-/// that were turned away because too many waited.
+/// Returns the counters and gauges of the member, its storage and the process. `polls_refused` is
+/// the number of daemons' polls refused because too many were waiting.
 MetricsPage controlMetrics(const ControlCore& core, const RaftStorage& storage,
                            std::uint64_t polls_refused, TimePoint now);
 
--- a/control/control_process.cc
+++ b/control/control_process.cc
@@ -24,24 +24,24 @@
 namespace {
 
 constexpr auto kTickInterval = std::chrono::milliseconds(10);
-constexpr Duration kPlatformInterval = seconds(1);
+constexpr Duration kPlatformPollInterval = seconds(1);
 constexpr Duration kPlatformTimeout = seconds(2);
 constexpr Duration kRaftTimeout = milliseconds(400);
 constexpr Duration kMemberTimeout = milliseconds(800);
 constexpr std::size_t kMaximumMessageBytes = 256 << 20;
-// Messages that wait for a member that does not answer; Raft repeats what is dropped.
+// Messages queued per member that does not answer. Raft sends dropped messages again.
 constexpr std::size_t kMaximumQueuedMessages = 256;
 constexpr int kServerThreads = 2;
-// Polls are taken a few at a time between rounds of Raft, so that a start of the whole fleet at
-// once cannot hold up heartbeats until the leader loses its lease.
+// At most this many polls are handled between two rounds of Raft. Otherwise polls of a whole fleet
+// that starts at once could delay heartbeats until the leader loses its lease.
 constexpr std::size_t kPollsPerRound = 32;
-// Beyond this a poll is refused at once: its daemon would have given up before its turn.
+// Further polls are refused at once: their daemons would time out before they are handled.
 constexpr std::size_t kMaximumWaitingPolls = 4096;
 
 }  // namespace
 
-// One thread owns the core and the storage; all others hand it events. So whatever arrives while
-// it syncs is taken in one go and shares the next sync (group commit).
+// One thread owns the core and the storage; all other threads post events to it. All events that
+// arrive during a sync are handled together afterwards and share the next sync (group commit).
 class ControlProcess::Impl {
  public:
   explicit Impl(ControlSettings settings)
@@ -60,8 +60,9 @@
     HttpToken token = 0;
     ControlRequest request;
   };
-  /// Raft messages for one member: one POST at a time, the rest waits and goes together.
-  struct MemberLink {
+  /// Raft messages for one member. One POST is in flight at a time; messages queued meanwhile are
+  /// sent in one batch.
+  struct MemberOutbox {
     RaftBatch waiting;
     bool busy = false;
   };
@@ -74,13 +75,13 @@
   void respond(HttpToken token, const ControlReply& reply);
   void run();
   void work(TimePoint now);
-  void carryOut(const ControlWork& work);
+  void executeWork(const ControlWork& work);
   void onHttp(HttpToken token, const HttpRequest& request);
-  void queueRaft(const RaftMessage& message);
-  void flushLink(const std::string& address);
-  void askPlatform();
+  void queueRaftMessage(const RaftMessage& message);
+  void flushOutbox(const std::string& address);
+  void requestPlatformList();
   void sendMemberRequest(const MemberRequest& request);
-  void reportChanges();
+  void logStateChange();
   MetricsPage metrics();
   std::uint64_t refusedPolls() {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -91,15 +92,16 @@
   PosixFileSystem files_;
   RaftStorage storage_;
   std::unique_ptr<ControlCore> core_;
-  std::mutex core_mutex_;  ///< For the admin page only; the loop thread is the one other user.
-  std::map<std::string, MemberLink> links_;
-  TimePoint next_platform_{0};
-  std::string reported_state_;
+  std::mutex
+      core_mutex_;  ///< Guards `core_` and `storage_` between the loop thread and the admin page.
+  std::map<std::string, MemberOutbox> outboxes_;
+  TimePoint next_platform_request_{0};
+  std::string logged_state_;
 
   std::mutex mutex_;  ///< Guards `events_`, `polls_` and `refused_polls_`.
-  std::condition_variable wake_;
+  std::condition_variable work_available_;
   std::vector<Event> events_;
-  std::map<HttpToken, ControlRequest> polls_;  ///< Waiting, in the order of their arrival.
+  std::map<HttpToken, ControlRequest> polls_;  ///< Waiting polls in order of arrival.
   std::uint64_t refused_polls_ = 0;
   std::atomic<bool> stopping_{false};
   std::unique_ptr<HttpServer> server_;
@@ -160,7 +162,7 @@
   if (server_ != nullptr) {
     server_->stop();
   }
-  wake_.notify_one();
+  work_available_.notify_one();
   if (loop_.joinable()) {
     loop_.join();
     logChange("stopped", {});
@@ -172,7 +174,7 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     events_.push_back(std::move(event));
   }
-  wake_.notify_one();
+  work_available_.notify_one();
 }
 
 void ControlProcess::Impl::postPoll(HttpToken token, ControlRequest request) {
@@ -180,7 +182,7 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     if (polls_.size() < kMaximumWaitingPolls) {
       polls_.emplace(token, std::move(request));
-      wake_.notify_one();
+      work_available_.notify_one();
       return;
     }
     refused_polls_ += 1;
@@ -190,7 +192,7 @@
   respond(token, reply);
 }
 
-// The daemon has given up: nobody would read the answer.
+// The daemon has disconnected, so nobody would read the answer.
 void ControlProcess::Impl::dropPoll(HttpToken token) {
   const std::lock_guard<std::mutex> lock(mutex_);
   polls_.erase(token);
@@ -219,8 +221,8 @@
     std::vector<WaitingPoll> polls;
     {
       std::unique_lock<std::mutex> lock(mutex_);
-      wake_.wait_for(lock, kTickInterval,
-                     [this] { return !events_.empty() || !polls_.empty() || stopping_; });
+      work_available_.wait_for(lock, kTickInterval,
+                               [this] { return !events_.empty() || !polls_.empty() || stopping_; });
       events.swap(events_);
       polls = takePolls();
     }
@@ -246,23 +248,23 @@
     const bool durable =
         storage_.persist(work.raft) && (!work.snapshot || storage_.saveSnapshot(*work.snapshot));
     if (!durable) {
-      // What is on disk is unknown now, so nothing may be promised any more.
+      // The contents on disk are unknown now, so the member must not acknowledge anything further.
       logChange("storage_failed", {{"folder", settings_.data_folder}});
       std::_Exit(EXIT_FAILURE);
     }
-    carryOut(work);
+    executeWork(work);
     core_->done(work, now);
   }
-  reportChanges();
-  if (now >= next_platform_ && !settings_.platform_url.empty()) {
-    next_platform_ = now + kPlatformInterval;
-    askPlatform();
+  logStateChange();
+  if (now >= next_platform_request_ && !settings_.platform_url.empty()) {
+    next_platform_request_ = now + kPlatformPollInterval;
+    requestPlatformList();
   }
 }
 
-void ControlProcess::Impl::carryOut(const ControlWork& work) {
+void ControlProcess::Impl::executeWork(const ControlWork& work) {
   for (const RaftMessage& message : work.raft.messages) {
-    queueRaft(message);
+    queueRaftMessage(message);
   }
   for (const ControlAnswer& answer : work.answers) {
     respond(answer.token, answer.reply);
@@ -272,35 +274,35 @@
   }
 }
 
-void ControlProcess::Impl::queueRaft(const RaftMessage& message) {
+void ControlProcess::Impl::queueRaftMessage(const RaftMessage& message) {
   const std::string address = core_->addressOf(message.to);
   if (address.empty()) {
     return;
   }
-  MemberLink& link = links_[address];
-  if (link.waiting.messages.size() < kMaximumQueuedMessages) {
-    link.waiting.messages.push_back(message);
+  MemberOutbox& outbox = outboxes_[address];
+  if (outbox.waiting.messages.size() < kMaximumQueuedMessages) {
+    outbox.waiting.messages.push_back(message);
   }
-  flushLink(address);
+  flushOutbox(address);
 }
 
-void ControlProcess::Impl::flushLink(const std::string& address) {
-  MemberLink& link = links_[address];
-  if (link.busy || link.waiting.messages.empty()) {
+void ControlProcess::Impl::flushOutbox(const std::string& address) {
+  MemberOutbox& outbox = outboxes_[address];
+  if (outbox.busy || outbox.waiting.messages.empty()) {
     return;
   }
-  link.busy = true;
-  link.waiting.sender_address = settings_.address.toString();
+  outbox.busy = true;
+  outbox.waiting.sender_address = settings_.address.toString();
   HttpClientRequest request;
   request.url = "http://" + address + kRaftPath;
   request.headers = {{"Content-Type", kCborType}};
-  request.body = encode(link.waiting);
+  request.body = encode(outbox.waiting);
   request.timeout = kRaftTimeout;
-  link.waiting.messages.clear();
+  outbox.waiting.messages.clear();
   client_.send(std::move(request), [this, address](const HttpClientResult&) {
     post([this, address](TimePoint) {
-      links_[address].busy = false;
-      flushLink(address);
+      outboxes_[address].busy = false;
+      flushOutbox(address);
     });
   });
 }
@@ -315,14 +317,14 @@
                      });
 }
 
-void ControlProcess::Impl::askPlatform() {
+void ControlProcess::Impl::requestPlatformList() {
   HttpClientRequest request;
   request.method = "GET";
   request.url = settings_.platform_url;
   request.timeout = kPlatformTimeout;
   client_.send(std::move(request), [this](const HttpClientResult& result) {
     if (!result.complete || result.status != 200) {
-      return;  // The last list stays in use.
+      return;  // The previous list stays in use.
     }
     const auto servers = parsePlatformList(result.body);
     if (servers) {
@@ -362,19 +364,19 @@
   post([this, token, control](TimePoint now) { core_->onRequest(token, *control, now); });
 }
 
-void ControlProcess::Impl::reportChanges() {
+void ControlProcess::Impl::logStateChange() {
   const RaftNode& raft = core_->raft();
   const bool leads = raft.role() == RaftRole::kLeader;
   const std::string state = "term " + std::to_string(raft.term()) +
                             (leads ? " leader" : " follower") + " of " +
                             std::to_string(raft.leader()) + " configuration " +
                             core_->state().configuration().version.toString();
-  if (state != reported_state_) {
+  if (state != logged_state_) {
     logChange("state", {{"role", leads ? "leader" : "follower"},
                         {"term", std::to_string(raft.term())},
                         {"leader", std::to_string(raft.leader())},
                         {"configuration", core_->state().configuration().version.toString()}});
-    reported_state_ = state;
+    logged_state_ = state;
   }
 }
 
--- a/control/control_process.h
+++ b/control/control_process.h
@@ -1,4 +1,5 @@
-// ramppond-control: one member of the control group, carrying out what ControlCore decides.
+// The ramppond-control process: one member of the control group, which executes the work that
+// ControlCore decides on.
 #pragma once
 
 #include <memory>
@@ -16,8 +17,10 @@
   ControlProcess(const ControlProcess&) = delete;
   ControlProcess& operator=(const ControlProcess&) = delete;
 
-  /// Opens the data folder and starts to work. Nothing on success, else the reason.
+  /// Opens the data folder and starts the servers and the event thread. Returns the reason on
+  /// failure, else std::nullopt.
   std::optional<std::string> start();
+  /// Stops the servers and joins the event thread.
   void stop();
 
  private:
--- a/control/control_settings.cc
+++ b/control/control_settings.cc
@@ -10,7 +10,7 @@
 constexpr std::int64_t kDefaultHeartbeatMs = 80;
 constexpr std::int64_t kDefaultEntriesPerSnapshot = 20000;
 
-ControlSettings settingsOf(SettingsTable& root) {
+ControlSettings parseSettings(SettingsTable& root) {
   ControlSettings settings;
   settings.name = root.requiredString("name");
   settings.address = endpointSetting(root, "address", "");
@@ -33,7 +33,7 @@
 }  // namespace
 
 std::optional<ControlSettings> readControlSettings(const std::string& path, std::string& error) {
-  return readSettingsFile(path, error, settingsOf);
+  return readSettingsFile(path, error, parseSettings);
 }
 
 }  // namespace ramppond
--- a/control/control_settings.h
+++ b/control/control_settings.h
@@ -12,17 +12,18 @@
 
 struct ControlSettings {
   std::string name;
-  Endpoint address;  ///< Other members, daemons and operators.
-  Endpoint admin;
+  Endpoint address;  ///< Listens for other members, daemons and operators.
+  Endpoint admin;    ///< Listens for requests to the admin pages.
   std::string data_folder;
-  std::string platform_url;  ///< http://HOST:PORT/PATH of the platform's list; empty for none.
+  std::string
+      platform_url;  ///< http://HOST:PORT/PATH of the platform's server list; empty for none.
   Duration election_timeout{0};
   Duration heartbeat_interval{0};
   std::uint64_t entries_per_snapshot = 0;
   LogFormat log_format = LogFormat::kText;
 };
 
-/// Reads `path`. On an error gives nothing and sets `error`.
+/// Reads the settings file `path`. On failure returns std::nullopt and sets `error`.
 std::optional<ControlSettings> readControlSettings(const std::string& path, std::string& error);
 
 }  // namespace ramppond
--- a/control/coordinator/coordinator_operator.cc
+++ b/control/coordinator/coordinator_operator.cc
@@ -1,4 +1,4 @@
-// The operator's calls of a coordinator: a configuration put or read, answered over HTTP.
+// Operator API of CoordinatorProcess: puts and reads of the configuration over HTTP.
 #include "common/event_log.h"
 #include "control/coordinator/coordinator_process.h"
 #include "core/cbor_codec.h"
@@ -7,12 +7,12 @@
 namespace ramppond {
 namespace {
 
-// A call cannot take more of the memory than this; configurations described have some hundred
-// routes.
+// Limits the memory that one call can take. Expected configurations have several hundred routes,
+// far below this.
 constexpr std::size_t kMaximumDocumentBytes = 16U << 20U;
 
-void answerOperator(const std::shared_ptr<ServerExchange>& exchange, int status,
-                    std::string_view body) {
+void respondToOperator(const std::shared_ptr<ServerExchange>& exchange, int status,
+                       std::string_view body) {
   HttpHead head;
   head.status = status;
   head.fields.push_back({"Content-Type", "application/json"});
@@ -25,7 +25,7 @@
   const HttpHead& request = exchange->request();
   const ExternalCall call = api_.classify(request.method, request.target);
   if (core_ == nullptr) {
-    refuseOperator(exchange);
+    rejectOperatorCall(exchange);
     return;
   }
   if (call.type == ExternalCallType::kReadTraffic) {
@@ -38,28 +38,29 @@
     return;
   }
   if (call.type != ExternalCallType::kReplaceTraffic) {
-    answerOperator(exchange, kNotFound, "{\"error\":\"no such call\"}");
+    respondToOperator(exchange, kNotFound, "{\"error\":\"no such call\"}");
     return;
   }
   const std::string base = request.get(api_.headers().base_version);
-  const std::weak_ptr<ServerExchange> weak = exchange;
+  const std::weak_ptr<ServerExchange> weak_exchange = exchange;
   exchange->setHandler(std::make_shared<WholeBodyHandler>(
-      kMaximumDocumentBytes, [this, base, weak](const std::string& body) {
-        const auto alive = weak.lock();
-        if (alive != nullptr) {
-          onReplacement(base, body, alive);
+      kMaximumDocumentBytes, [this, base, weak_exchange](const std::string& body) {
+        const auto live_exchange = weak_exchange.lock();
+        if (live_exchange != nullptr) {
+          replaceConfiguration(base, body, live_exchange);
         }
       }));
 }
 
-void CoordinatorProcess::refuseOperator(const std::shared_ptr<ServerExchange>& exchange) {
-  answerOperator(exchange, kUnavailable, "{\"error\":\"storage takes no writes\"}");
+void CoordinatorProcess::rejectOperatorCall(const std::shared_ptr<ServerExchange>& exchange) {
+  respondToOperator(exchange, kUnavailable, "{\"error\":\"storage takes no writes\"}");
 }
 
-void CoordinatorProcess::onReplacement(const std::string& base_version, const std::string& body,
-                                       const std::shared_ptr<ServerExchange>& exchange) {
+void CoordinatorProcess::replaceConfiguration(const std::string& base_version,
+                                              const std::string& body,
+                                              const std::shared_ptr<ServerExchange>& exchange) {
   if (core_ == nullptr) {
-    refuseOperator(exchange);
+    rejectOperatorCall(exchange);
     return;
   }
   auto replacement = api_.parseReplacement(base_version, body);
@@ -68,7 +69,7 @@
   }
   if (!replacement.value || !replacement.error.empty()) {
     logEvent(EventLoop::now().count(), "configuration_refused", {{"reason", replacement.error}});
-    answerOperator(exchange, kBadRequest, "{\"error\":\"invalid\"}");
+    respondToOperator(exchange, kBadRequest, "{\"error\":\"invalid\"}");
     return;
   }
   const ControlToken token = next_operator_token_++;
@@ -89,34 +90,35 @@
   const auto exchange = found->second;
   operator_calls_.erase(found);
   if (reply.error != ErrorKind::kNone) {
-    redirectOrRefuse(exchange, reply);
+    redirectOrReject(exchange, reply);
     return;
   }
   switch (reply.result.error) {
     case ErrorKind::kNone:
       break;
     case ErrorKind::kVersionConflict:
-      answerOperator(exchange, kPreconditionFailed, "{\"error\":\"another version is in force\"}");
+      respondToOperator(exchange, kPreconditionFailed,
+                        "{\"error\":\"another version is in force\"}");
       return;
     default:
-      answerOperator(exchange, kBadRequest, "{\"error\":\"invalid\"}");
+      respondToOperator(exchange, kBadRequest, "{\"error\":\"invalid\"}");
       return;
   }
   const bool read = equalNames(exchange->request().method, "GET");
   if (read && reply.traffic_document.empty()) {
-    answerOperator(exchange, kUnavailable, "{\"error\":\"no configuration yet\"}");
+    respondToOperator(exchange, kUnavailable, "{\"error\":\"no configuration yet\"}");
     return;
   }
-  answerOperator(exchange, kOk, read ? reply.traffic_document : "{}");
+  respondToOperator(exchange, kOk, read ? reply.traffic_document : "{}");
 }
 
-// Sends the caller to the leader, if one is known; all members have the same operator port.
-void CoordinatorProcess::redirectOrRefuse(const std::shared_ptr<ServerExchange>& exchange,
+// Redirects the caller to the leader if one is known. All members use the same operator port.
+void CoordinatorProcess::redirectOrReject(const std::shared_ptr<ServerExchange>& exchange,
                                           const ControlReply& reply) {
   const auto leader = parseEndpoint(reply.leader_address);
   const bool known = leader && leader->host != settings_.member_address.host;
   if (!known) {
-    answerOperator(exchange, kUnavailable, "{\"error\":\"no leader\"}");
+    respondToOperator(exchange, kUnavailable, "{\"error\":\"no leader\"}");
     return;
   }
   const Endpoint target = {leader->host, settings_.operator_address.port};
--- a/control/coordinator/coordinator_process.cc
+++ b/control/coordinator/coordinator_process.cc
@@ -15,21 +15,25 @@
 constexpr Duration kJoinTimeout = milliseconds(600);
 constexpr Duration kMemberTimeout = milliseconds(800);
 constexpr Duration kSettingsCheckInterval = seconds(1);
-// Members talk to each other many times a second: whoever is silent for this long has left.
-constexpr Duration kMemberConnectionIdle = seconds(5);
-constexpr Duration kStopTime = milliseconds(300);
-// Reading the files anew costs about as much as a start.
-constexpr Duration kOpenInterval = milliseconds(500);
-// A sync takes milliseconds and may be many times slower: elections must not follow from that.
+// Members exchange messages many times a second, so a connection that is idle for this long belongs
+// to a member that has left.
+constexpr Duration kMemberIdleTimeout = seconds(5);
+constexpr Duration kStopDelay = milliseconds(300);
+// Reopening reads all files, which costs about as much as a start.
+constexpr Duration kReopenInterval = milliseconds(500);
+// A sync usually takes milliseconds but may take many times as long; that must not cause an
+// election.
 constexpr Duration kElectionTimeout = milliseconds(500);
-// After a loss of everything nobody can serve before there is a leader.
+// Shorter than kElectionTimeout: after an outage of the whole system nothing is served until there
+// is a leader.
 constexpr Duration kFirstElectionTimeout = milliseconds(80);
 constexpr Duration kHeartbeatInterval = milliseconds(100);
 constexpr Duration kRegistryPullInterval = milliseconds(150);
-// The log stays small against the disks of control machines.
+// Keeps the log small compared to the disks of control machines.
 constexpr LogIndex kEntriesPerSnapshot = 400;
-// An entry mostly holds a whole configuration: about as many are applied at a start, at 1.5 ms of
-// processor time each for 330 routes. Fewer would cost more syncs than they save.
+// Size of the log in multiples of the snapshot size at which the next snapshot is taken. Most
+// entries contain a whole configuration, so a start applies about this many entries, at 1.5 ms of
+// CPU time each for 330 routes. A lower value would cost more in syncs than it saves.
 constexpr std::uint64_t kLogPerSnapshot = 8;
 constexpr std::uint32_t kMaximumHeaderBytes = 65536;
 
@@ -80,30 +84,30 @@
     return settings_.data_folder + "/" + *error;
   }
   if (error) {
-    onStorageRefused(*error);
+    onStorageUnwritable(*error);
     return std::nullopt;
   }
-  beginCore();
+  startCore();
   return std::nullopt;
 }
 
-void CoordinatorProcess::onStorageRefused(const std::string& reason) {
+void CoordinatorProcess::onStorageUnwritable(const std::string& reason) {
   const TimePoint now = EventLoop::now();
-  next_open_ = now + kOpenInterval;
+  next_open_attempt_ = now + kReopenInterval;
   core_.reset();
-  if (storage_refused_since_) {
+  if (storage_unwritable_since_) {
     return;
   }
-  storage_refused_since_ = now;
+  storage_unwritable_since_ = now;
   logEvent(now.count(), "storage_refused", {{"folder", settings_.data_folder}, {"reason", reason}});
   frames_.dropConnections();
   const auto calls = std::exchange(operator_calls_, {});
   for (const auto& [token, exchange] : calls) {
-    refuseOperator(exchange);
+    rejectOperatorCall(exchange);
   }
 }
 
-void CoordinatorProcess::beginCore() {
+void CoordinatorProcess::startCore() {
   ControlOptions options;
   options.name = settings_.name;
   options.address = settings_.member_address.toString();
@@ -119,17 +123,18 @@
   options.raft.random_seed = randomNumber64();
   const TimePoint now = EventLoop::now();
   core_ = std::make_unique<ControlCore>(options, storage_->takeRecovery(), now);
-  core_number_ += 1;
+  core_generation_ += 1;
   bootstrapIfFirst();
-  const auto refused_since = std::exchange(storage_refused_since_, std::nullopt);
-  if (refused_since) {
+  const auto unwritable_since = std::exchange(storage_unwritable_since_, std::nullopt);
+  if (unwritable_since) {
     logEvent(now.count(), "storage_back",
-             {{"after_us", std::to_string((now - *refused_since).count())}});
+             {{"after_us", std::to_string((now - *unwritable_since).count())}});
   }
 }
 
 std::optional<std::string> CoordinatorProcess::start() {
-  // A limit on the size of files is a failed write like any other.
+  // Makes a write beyond the file size limit fail like any other write, instead of ending the
+  // process.
   std::signal(SIGXFSZ, SIG_IGN);
   logEvent(EventLoop::now().count(), "opening", {{"folder", settings_.data_folder}});
   if (auto error = files_.prepare()) {
@@ -166,7 +171,7 @@
 void CoordinatorProcess::onFrame(FrameToken token, const Frame& frame) {
   const TimePoint now = EventLoop::now();
   if (core_ == nullptr) {
-    refuseFrame(token);
+    rejectFrame(token);
     return;
   }
   if (frame.kind == FrameKind::kRaftMessages) {
@@ -186,15 +191,15 @@
   scheduleWork();
 }
 
-// Whoever asks is told at once, and asks another member.
-void CoordinatorProcess::refuseFrame(FrameToken token) {
+// Answers at once, so that the sender asks another member without waiting for a timeout.
+void CoordinatorProcess::rejectFrame(FrameToken token) {
   ControlReply reply;
   reply.error = ErrorKind::kNoQuorum;
   reply.reason = "this member's storage takes no writes";
   frames_.answer(token, FrameKind::kControlReply, encode(reply));
 }
 
-// Everything that arrives within one turn of the loop shares a sync.
+// All work that arrives within one iteration of the loop shares a sync.
 void CoordinatorProcess::scheduleWork() {
   if (work_scheduled_) {
     return;
@@ -222,17 +227,17 @@
       break;
     }
     if (!persist(work)) {
-      onStorageRefused("write failed");
+      onStorageUnwritable("write failed");
       return;
     }
-    carryOut(work);
+    executeWork(work);
     core_->done(work, now);
   }
-  logState();
+  logStateChange();
 }
 
-void CoordinatorProcess::carryOut(const ControlWork& work) {
-  sendRaft(work.raft.messages);
+void CoordinatorProcess::executeWork(const ControlWork& work) {
+  sendRaftMessages(work.raft.messages);
   for (const ControlAnswer& answer : work.answers) {
     if (answer.token >= kFirstOperatorToken) {
       onOperatorReply(answer.token, answer.reply);
@@ -242,18 +247,19 @@
   }
   for (const MemberRequest& request : work.member_requests) {
     const std::uint64_t request_id = request.request_id;
-    const std::uint64_t core_number = core_number_;
-    channels_.request(request.address, request.request, kMemberTimeout,
-                      [this, request_id, core_number](const std::optional<ControlReply>& reply) {
-                        if (core_ != nullptr && core_number == core_number_) {
-                          core_->onMemberReply(request_id, reply, EventLoop::now());
-                          scheduleWork();
-                        }
-                      });
+    const std::uint64_t core_generation = core_generation_;
+    channels_.request(
+        request.address, request.request, kMemberTimeout,
+        [this, request_id, core_generation](const std::optional<ControlReply>& reply) {
+          if (core_ != nullptr && core_generation == core_generation_) {
+            core_->onMemberReply(request_id, reply, EventLoop::now());
+            scheduleWork();
+          }
+        });
   }
 }
 
-void CoordinatorProcess::sendRaft(const std::vector<RaftMessage>& messages) {
+void CoordinatorProcess::sendRaftMessages(const std::vector<RaftMessage>& messages) {
   std::map<std::string, RaftBatch> batches;
   for (const RaftMessage& message : messages) {
     const std::string address = core_->addressOf(message.to);
@@ -267,15 +273,16 @@
   }
 }
 
-// A member that no leader speaks to asks to be taken in: it may have been replaced meanwhile.
-void CoordinatorProcess::joinIfOutside() {
+// Requests to join if this member hears from no leader or is not in the membership: it may have
+// been replaced in the meantime.
+void CoordinatorProcess::joinIfNotMember() {
   if (core_ == nullptr) {
     return;
   }
   const TimePoint now = EventLoop::now();
   const RaftNode& raft = core_->raft();
-  const bool inside = core_->authoritative(now) && raft.membership().find(raft.id()) != nullptr;
-  if (inside || now < next_join_) {
+  const bool is_member = core_->authoritative(now) && raft.membership().find(raft.id()) != nullptr;
+  if (is_member || now < next_join_) {
     return;
   }
   next_join_ = now + kJoinInterval;
@@ -299,16 +306,16 @@
   channels_.request(
       target, request, kJoinTimeout,
       [this, target, request, follow_leader](const std::optional<ControlReply>& reply) {
-        const bool elsewhere = reply && reply->error == ErrorKind::kNotLeader &&
-                               !reply->leader_address.empty() && reply->leader_address != target;
-        if (elsewhere && follow_leader) {
+        const bool redirected = reply && reply->error == ErrorKind::kNotLeader &&
+                                !reply->leader_address.empty() && reply->leader_address != target;
+        if (redirected && follow_leader) {
           askToJoin(reply->leader_address, request, false);
         }
       });
 }
 
 void CoordinatorProcess::reopenStorage() {
-  if (core_ != nullptr || EventLoop::now() < next_open_) {
+  if (core_ != nullptr || EventLoop::now() < next_open_attempt_) {
     return;
   }
   if (const auto error = openStorage()) {
@@ -320,12 +327,12 @@
 void CoordinatorProcess::tick() {
   reopenStorage();
   work();
-  joinIfOutside();
+  joinIfNotMember();
   const TimePoint now = EventLoop::now();
   if (now >= next_settings_check_) {
     next_settings_check_ = now + kSettingsCheckInterval;
     rereadSettings();
-    channels_.closeUnusedSince(now - kMemberConnectionIdle);
+    channels_.closeUnusedSince(now - kMemberIdleTimeout);
   }
   tick_timer_.after(kTickInterval, [this] { tick(); });
 }
@@ -345,13 +352,14 @@
     return;
   }
   operators_.drain();
-  stop_timer_.after(kStopTime, [this] {
+  stop_timer_.after(kStopDelay, [this] {
     logEvent(EventLoop::now().count(), "stopped");
     loop_.stop();
   });
 }
 
-// The file may change without a signal. Only the seeds can change while the process runs.
+// Also called periodically, because the file may change without a signal. Only the seeds can change
+// while the process runs.
 void CoordinatorProcess::rereadSettings() {
   if (!settings_watch_.changed()) {
     return;
@@ -367,7 +375,7 @@
   logEvent(now, "settings_taken");
 }
 
-void CoordinatorProcess::logState() {
+void CoordinatorProcess::logStateChange() {
   const RaftNode& raft = core_->raft();
   const bool leads = raft.role() == RaftRole::kLeader;
   std::string state = (leads ? "leader" : "follower") + std::string(" term ") +
--- a/control/coordinator/coordinator_process.h
+++ b/control/coordinator/coordinator_process.h
@@ -1,12 +1,12 @@
-// ramppond-coordinator: a control member on the event loop, for the forwarding path.
+// The ramppond-coordinator process: a control member of the forwarding path, on the event loop.
 //
-// Carries out what ControlCore decides: keeps its log, talks to the other members and to daemons
-// in frames, and answers the operator over HTTP. One thread; a sync of the disk stops it, and a
-// disk that hangs makes the others elect another leader.
+// Executes the work that ControlCore decides on: persists its log, exchanges frames with the other
+// members and with daemons, and answers the operator over HTTP. Single-threaded: a sync of the disk
+// blocks the loop, and if a disk hangs the other members elect a new leader.
 //
-// A disk that takes no writes leaves unknown what is on it. The member then forgets all that it
-// holds in memory, as if it had ended: it neither votes nor answers, sends whoever asks to other
-// members, and reads its files anew every now and then until they take writes again.
+// After a failed write the contents on disk are unknown. The member then drops its state in memory,
+// as if the process had ended. It neither votes nor answers requests, tells clients to ask other
+// members, and reopens its files every kReopenInterval until writes succeed again.
 #pragma once
 
 #include <boost/asio/signal_set.hpp>
@@ -25,7 +25,7 @@
 
 namespace ramppond {
 
-/// Tokens of operators' calls lie above those of frames.
+/// First token of operators' calls. Tokens of frames are lower.
 constexpr ControlToken kFirstOperatorToken = ControlToken{1} << 62U;
 
 class CoordinatorProcess {
@@ -33,39 +33,40 @@
   CoordinatorProcess(const ExternalApi& api, const OperatingBounds& bounds,
                      CoordinatorSettings settings, std::string settings_path);
 
-  /// Opens the data folder and listens. Nothing on success, else the reason.
+  /// Opens the data folder and starts the servers. Returns the reason on failure, else
+  /// std::nullopt.
   std::optional<std::string> start();
   void run() { loop_.run(); }
 
  private:
-  /// Reads the files and begins to take part, or tries again later if they take no writes. Gives
-  /// why the process must end, if it must.
+  /// Reads the files and starts the core, or schedules another attempt if writes fail. Returns the
+  /// reason if the data is damaged and the process must end, else std::nullopt.
   std::optional<std::string> openStorage();
-  void onStorageRefused(const std::string& reason);
-  void beginCore();
+  void onStorageUnwritable(const std::string& reason);
+  void startCore();
   bool persist(const ControlWork& work);
   void bootstrapIfFirst();
   void serveOperator(const std::shared_ptr<ServerExchange>& exchange);
-  void onReplacement(const std::string& base_version, const std::string& body,
-                     const std::shared_ptr<ServerExchange>& exchange);
-  /// While the disk takes no writes.
-  static void refuseOperator(const std::shared_ptr<ServerExchange>& exchange);
+  void replaceConfiguration(const std::string& base_version, const std::string& body,
+                            const std::shared_ptr<ServerExchange>& exchange);
+  /// Answers that the storage is not writable.
+  static void rejectOperatorCall(const std::shared_ptr<ServerExchange>& exchange);
   void onOperatorReply(ControlToken token, const ControlReply& reply);
-  void redirectOrRefuse(const std::shared_ptr<ServerExchange>& exchange, const ControlReply& reply);
+  void redirectOrReject(const std::shared_ptr<ServerExchange>& exchange, const ControlReply& reply);
   void onFrame(FrameToken token, const Frame& frame);
-  void refuseFrame(FrameToken token);
+  void rejectFrame(FrameToken token);
   void reopenStorage();
   void scheduleWork();
   void work();
-  void carryOut(const ControlWork& work);
-  void sendRaft(const std::vector<RaftMessage>& messages);
-  void joinIfOutside();
+  void executeWork(const ControlWork& work);
+  void sendRaftMessages(const std::vector<RaftMessage>& messages);
+  void joinIfNotMember();
   void askToJoin(const std::string& target, const ControlRequest& request, bool follow_leader);
   void tick();
   void waitForSignal();
   void onSignal(int signal);
   void rereadSettings();
-  void logState();
+  void logStateChange();
 
   EventLoop loop_;
   const ExternalApi& api_;
@@ -74,10 +75,10 @@
   SettingsWatch settings_watch_;
   PosixFileSystem files_;
   std::unique_ptr<RaftStorage> storage_;
-  std::unique_ptr<ControlCore> core_;  ///< None while the disk takes no writes.
-  std::uint64_t core_number_ = 0;      ///< Tells replies to requests of an earlier core.
-  std::optional<TimePoint> storage_refused_since_;
-  TimePoint next_open_{0};
+  std::unique_ptr<ControlCore> core_;  ///< Null while the disk is not writable.
+  std::uint64_t core_generation_ = 0;  ///< Identifies replies to requests of an earlier core.
+  std::optional<TimePoint> storage_unwritable_since_;
+  TimePoint next_open_attempt_{0};
   ControlChannels channels_;
   FrameServer frames_;
   StreamHttpServer operators_;
--- a/control/coordinator/coordinator_settings.cc
+++ b/control/coordinator/coordinator_settings.cc
@@ -3,7 +3,7 @@
 namespace ramppond {
 namespace {
 
-CoordinatorSettings settingsOf(SettingsTable& root) {
+CoordinatorSettings parseSettings(SettingsTable& root) {
   CoordinatorSettings settings;
   settings.name = root.requiredString("name");
   settings.operator_address = endpointSetting(root, "operator_address", "");
@@ -21,7 +21,7 @@
 
 std::optional<CoordinatorSettings> readCoordinatorSettings(const std::string& path,
                                                            std::string& error) {
-  return readSettingsFile(path, error, settingsOf);
+  return readSettingsFile(path, error, parseSettings);
 }
 
 }  // namespace ramppond
--- a/control/coordinator/coordinator_settings.h
+++ b/control/coordinator/coordinator_settings.h
@@ -11,16 +11,16 @@
 
 struct CoordinatorSettings {
   std::string name;
-  Endpoint operator_address;  ///< The operator puts and reads configurations here.
-  Endpoint member_address;    ///< Other members and daemons talk to it here.
+  Endpoint operator_address;  ///< Listens for the operator, who puts and reads configurations.
+  Endpoint member_address;    ///< Listens for other members and daemons.
   std::string zone;           ///< Daemons prefer members of their zone; empty for unknown.
   std::string data_folder;
-  std::vector<std::string> seeds;   ///< HOST:PORT of some members' operator ports.
+  std::vector<std::string> seeds;   ///< HOST:PORT of the operator ports of some members.
   std::vector<std::string> bounds;  ///< NAME=VALUE each; see ExternalApi.
-  bool first_start = false;         ///< The whole system starts for the first time, on empty disks.
+  bool first_start = false;  ///< The whole system starts for the first time, with empty disks.
 };
 
-/// Reads `path`. On an error gives nothing and sets `error`.
+/// Reads the settings file `path`. On failure returns std::nullopt and sets `error`.
 std::optional<CoordinatorSettings> readCoordinatorSettings(const std::string& path,
                                                            std::string& error);
 
--- a/control/platform_list.h
+++ b/control/platform_list.h
@@ -1,7 +1,7 @@
-// The platform's list of live and leaving machines, as JSON over HTTP:
+// The platform's list of live and leaving servers, as JSON over HTTP:
 //   {"servers": [{"name": "...", "service": "...", "zone": "...", "address": "IPv4:PORT",
 //                 "state": "live" | "leaving"}, ...]}
-// `address` is where the server's daemon takes calls of other daemons.
+// `address` is the peer address of the server's daemon, which accepts calls of other daemons.
 #pragma once
 
 #include <optional>
@@ -12,9 +12,9 @@
 
 namespace ramppond {
 
-/// The servers in `json`, or nothing if it is not a valid list.
+/// Parses the list. Returns std::nullopt if `json` is not a valid list.
 std::optional<std::vector<ServerInfo>> parsePlatformList(const std::string& json);
-/// The list as the platform would give it.
+/// Formats the list as the platform does; the inverse of parsePlatformList().
 std::string formatPlatformList(const std::vector<ServerInfo>& servers);
 
 }  // namespace ramppond
