--- a/core/control/control_core.h
+++ b/core/control/control_core.h
@@ -154,7 +154,7 @@
   void answerHeldProxyPolls(TimePoint now);
   void addTraffic(const ProxyPoll& poll, ProxyNews& news);
   void addMembers(const ProxyPoll& poll, ProxyNews& news) const;
-  [[nodiscard]] ControlMemberPlace placeOf(const std::string& address) const;
+  [[nodiscard]] ControlMemberLocation placeOf(const std::string& address) const;
   void takeZone(const std::string& address, const ProxyNews& news);
   void keepEvidence(TimePoint now);
   void takeKeptEvidence(TimePoint now);
