--- a/control/coordinator/coordinator_process.cc
+++ b/control/coordinator/coordinator_process.cc
@@ -4,7 +4,7 @@
 
 #include "common/event_log.h"
 #include "core/cbor_codec.h"
-#include "core/consensus/first_members.h"
+#include "core/consensus/initial_membership.h"
 #include "core/consensus/raft_messages.h"
 
 namespace ramppond {
@@ -77,7 +77,7 @@
 
 std::optional<std::string> CoordinatorProcess::openStorage() {
   const NodeId fresh =
-      settings_.first_start ? firstIdentity(settings_.member_address.toString()) : randomNumber64();
+      settings_.first_start ? initialNodeId(settings_.member_address.toString()) : randomNumber64();
   storage_ = std::make_unique<RaftStorage>(files_);
   const auto error = storage_->open(fresh);
   if (error && !storage_->canRetryOpen()) {
@@ -118,7 +118,7 @@
   options.quota = bounds_.quota;
   options.raft.id = storage_->id();
   options.raft.election_timeout = kElectionTimeout;
-  options.raft.first_election_timeout = kFirstElectionTimeout;
+  options.raft.initial_election_timeout = kFirstElectionTimeout;
   options.raft.heartbeat_interval = kHeartbeatInterval;
   options.raft.random_seed = randomNumber64();
   const TimePoint now = EventLoop::now();
@@ -161,8 +161,8 @@
     return;
   }
   const Membership members =
-      firstMembership(addressesAtPort(settings_.seeds, settings_.member_address.port));
-  if (core_->bootstrapGroup(firstGroupId(members), members, EventLoop::now())) {
+      initialMembership(addressesAtPort(settings_.seeds, settings_.member_address.port));
+  if (core_->bootstrapGroup(initialGroupId(members), members, EventLoop::now())) {
     logEvent(EventLoop::now().count(), "bootstrapped",
              {{"members", std::to_string(members.members.size())}});
   }
--- a/core/call_port/inbound_calls.cc
+++ b/core/call_port/inbound_calls.cc
@@ -169,7 +169,7 @@
   if (answer != nullptr) {
     action.command.outcome = answer->outcome;
     action.command.status = answer->status;
-    const bool keep = answer->body.size() <= kMaximumKeptAnswerBytes;
+    const bool keep = answer->body.size() <= kMaximumStoredAnswerBytes;
     action.command.outcome = keep ? answer->outcome : Outcome::kUnknown;
     action.command.body = keep ? answer->body : std::string();
   }
--- a/core/consensus/first_members.cc
+++ b/core/consensus/initial_membership.cc
@@ -1,4 +1,4 @@
-#include "core/consensus/first_members.h"
+#include "core/consensus/initial_membership.h"
 
 #include <xxhash.h>
 
@@ -14,21 +14,21 @@
 
 }  // namespace
 
-NodeId firstIdentity(const std::string& address) {
+NodeId initialNodeId(const std::string& address) {
   return nonZeroHash("member " + address);
 }
 
-Membership firstMembership(std::vector<std::string> addresses) {
+Membership initialMembership(std::vector<std::string> addresses) {
   std::sort(addresses.begin(), addresses.end());
   addresses.erase(std::unique(addresses.begin(), addresses.end()), addresses.end());
   Membership membership;
   for (const std::string& address : addresses) {
-    membership.members.push_back({firstIdentity(address), address, address, true});
+    membership.members.push_back({initialNodeId(address), address, address, true});
   }
   return membership;
 }
 
-std::uint64_t firstGroupId(const Membership& membership) {
+std::uint64_t initialGroupId(const Membership& membership) {
   std::string text = "group";
   for (const Member& member : membership.members) {
     text += ' ' + member.address;
--- a/core/consensus/first_members.h
+++ b/core/consensus/initial_membership.h
@@ -13,10 +13,10 @@
 namespace ramppond {
 
 /// Identity of the member at `address` in a group's first membership; never 0.
-NodeId firstIdentity(const std::string& address);
+NodeId initialNodeId(const std::string& address);
 /// All of `addresses` as voters. The order does not matter.
-Membership firstMembership(std::vector<std::string> addresses);
+Membership initialMembership(std::vector<std::string> addresses);
 /// The number of the group that starts with this membership; never 0.
-std::uint64_t firstGroupId(const Membership& membership);
+std::uint64_t initialGroupId(const Membership& membership);
 
 }  // namespace ramppond
--- a/core/consensus/raft.h
+++ b/core/consensus/raft.h
@@ -25,7 +25,7 @@
   /// The same bound for elections until a leader is seen after a start; each lost one doubles it.
   /// It may be short: pre-vote (9.6) keeps a member that has just started from disturbing a leader
   /// that others hear.
-  std::optional<Duration> first_election_timeout;
+  std::optional<Duration> initial_election_timeout;
   std::size_t maximum_entries_per_message = 512;
   std::uint64_t random_seed = 1;
 };
--- a/core/consensus/raft_election.cc
+++ b/core/consensus/raft_election.cc
@@ -23,11 +23,11 @@
 // split the votes (5.2) are repeated soon. Pre-votes disturb nobody's term; elections do, so that
 // each that was lost doubles the time: votes may take long, as on a slow disk.
 void RaftNode::hurryFirstElection() {
-  if (!options_.first_election_timeout || leader_seen_) {
+  if (!options_.initial_election_timeout || leader_seen_) {
     return;
   }
   const std::uint32_t doublings = std::min(first_elections_, kMostDoublings);
-  const Duration least = std::min<Duration>(*options_.first_election_timeout * (1U << doublings),
+  const Duration least = std::min<Duration>(*options_.initial_election_timeout * (1U << doublings),
                                             options_.election_timeout);
   const auto spread = static_cast<std::uint64_t>(least.count());
   election_due_ = now_ + least + Duration(static_cast<std::int64_t>(random_.below(spread)));
--- a/core/consensus/snapshot_policy.cc
+++ b/core/consensus/snapshot_policy.cc
@@ -14,10 +14,10 @@
   if (this->entries >= this->limits.entries) {
     return true;
   }
-  if (this->limits.log_per_snapshot == 0) {
+  if (this->limits.max_log_ratio == 0) {
     return false;
   }
-  const auto allowed = this->snapshot.value * this->limits.log_per_snapshot;
+  const auto allowed = this->snapshot.value * this->limits.max_log_ratio;
   return this->log.value >= std::max(allowed, least_log_bytes);
 }
 
--- a/core/consensus/snapshot_policy.h
+++ b/core/consensus/snapshot_policy.h
@@ -20,7 +20,7 @@
   /// Entries applied since the last snapshot, at most.
   std::uint64_t entries = 20000;
   /// Their bytes, at most, as a multiple of the last snapshot's; 0 for no limit.
-  std::uint64_t log_per_snapshot = 0;
+  std::uint64_t max_log_ratio = 0;
 };
 
 class snapshot_policy {
--- a/core/control/control_core.cc
+++ b/core/control/control_core.cc
@@ -295,7 +295,7 @@
     if (command) {
       result = state_.apply(*command, {entry.term, entry.index});
       traffic_history_.on_in_force(state_.traffic().logIndex(), state_.traffic().configuration());
-      evidence_to_take_ = evidence_to_take_ || command->type == CommandType::kKeepEvidence;
+      evidence_to_take_ = evidence_to_take_ || command->type == CommandType::kRecordEvidence;
     } else {
       result.error = ErrorKind::kMalformedRequest;
     }
--- a/core/control/control_proxy_polls.cc
+++ b/core/control/control_proxy_polls.cc
@@ -132,7 +132,7 @@
     return;
   }
   Command command;
-  command.type = CommandType::kKeepEvidence;
+  command.type = CommandType::kRecordEvidence;
   command.leader_clock_ms = wall_clock_ms_;
   command.evidence = encode(batch);
   raft_.propose(encode(command));
--- a/core/control/control_state.cc
+++ b/core/control/control_state.cc
@@ -62,7 +62,7 @@
       return result;
     case CommandType::kReplaceTraffic:
       return replaceTraffic(command, version);
-    case CommandType::kKeepEvidence:
+    case CommandType::kRecordEvidence:
       return keepEvidence(command);
   }
   return failure(ErrorKind::kMalformedRequest, "unknown type of command");
@@ -219,7 +219,7 @@
   }
   Claim& claim = found->second;
   const bool keep =
-      command.outcome == Outcome::kRan && command.body.size() <= kMaximumKeptAnswerBytes;
+      command.outcome == Outcome::kRan && command.body.size() <= kMaximumStoredAnswerBytes;
   claim.state = keep ? ClaimState::kRan : ClaimState::kUnknown;
   claim.status = command.status;
   claim.body = keep ? command.body : std::string();
--- a/core/control/control_state.h
+++ b/core/control/control_state.h
@@ -27,7 +27,7 @@
   kCompleteClaim = 4,
   kReleaseClaim = 5,
   kReplaceTraffic = 6,
-  kKeepEvidence = 7,
+  kRecordEvidence = 7,
 };
 
 /// The claim part of a command: who wants to run what, or how it went.
@@ -37,7 +37,7 @@
   CallId holder;                        ///< The attempt that is to run it.
   Outcome outcome = Outcome::kUnknown;  ///< kCompleteClaim: kRan or kUnknown.
   std::uint32_t status = 0;
-  std::string body;  ///< The kept answer, at most kMaximumKeptAnswerBytes.
+  std::string body;  ///< The kept answer, at most kMaximumStoredAnswerBytes.
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -59,7 +59,7 @@
   std::uint64_t plan_id = 0;
   std::vector<ClaimCommand> claims;  ///< Claim commands are batched.
   std::string traffic;               ///< kReplaceTraffic: an encoded TrafficReplacement.
-  std::string evidence;              ///< kKeepEvidence: an encoded evidence_batch.
+  std::string evidence;              ///< kRecordEvidence: an encoded evidence_batch.
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -194,7 +194,7 @@
 constexpr std::int64_t kClaimWindowMs = 24LL * 3600 * 1000;
 /// A claim still held after this (the longest deadline and a margin) has an unknown outcome.
 constexpr std::int64_t kClaimHeldMs = 90LL * 1000;
-constexpr std::size_t kMaximumKeptAnswerBytes = 16384;
+constexpr std::size_t kMaximumStoredAnswerBytes = 16384;
 constexpr std::size_t kRememberedResults = 2048;
 constexpr std::size_t kRememberedPlans = 512;
 constexpr std::size_t kRememberedAbandoned = 8192;
--- a/tests/core/consensus/member_replacement_test.cc
+++ b/tests/core/consensus/member_replacement_test.cc
@@ -2,13 +2,13 @@
 
 #include <gtest/gtest.h>
 
-#include "core/consensus/first_members.h"
+#include "core/consensus/initial_membership.h"
 
 namespace ramppond {
 namespace {
 
 Membership group() {
-  return firstMembership({"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"});
+  return initialMembership({"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"});
 }
 
 Member joiner(NodeId id, const std::string& address) {
@@ -16,16 +16,16 @@
 }
 
 TEST(FirstMembers, EveryMemberComesToTheSameGroup) {
-  const Membership one = firstMembership({"10.0.0.2:1", "10.0.0.1:1"});
-  const Membership other = firstMembership({"10.0.0.1:1", "10.0.0.2:1", "10.0.0.1:1"});
-  EXPECT_EQ(firstGroupId(one), firstGroupId(other));
+  const Membership one = initialMembership({"10.0.0.2:1", "10.0.0.1:1"});
+  const Membership other = initialMembership({"10.0.0.1:1", "10.0.0.2:1", "10.0.0.1:1"});
+  EXPECT_EQ(initialGroupId(one), initialGroupId(other));
   EXPECT_EQ(one.voterCount(), 2U);
-  EXPECT_NE(one.find(firstIdentity("10.0.0.1:1")), nullptr);
+  EXPECT_NE(one.find(initialNodeId("10.0.0.1:1")), nullptr);
 }
 
 TEST(MemberReplacement, NothingChangesWithoutAReason) {
   EXPECT_FALSE(nextMembership(group(), {}, {}));
-  const NodeId known = firstIdentity("10.0.0.1:1");
+  const NodeId known = initialNodeId("10.0.0.1:1");
   EXPECT_FALSE(nextMembership(group(), {joiner(known, "10.0.0.1:1")}, {}));
   // Three voters are kept, however long one is silent.
   EXPECT_FALSE(nextMembership(group(), {}, {{known, seconds(100)}}));
@@ -35,7 +35,7 @@
   const auto without = nextMembership(group(), {joiner(77, "10.0.0.3:1")}, {});
   ASSERT_TRUE(without);
   EXPECT_EQ(without->voterCount(), 2U);
-  EXPECT_EQ(without->find(firstIdentity("10.0.0.3:1")), nullptr);
+  EXPECT_EQ(without->find(initialNodeId("10.0.0.3:1")), nullptr);
   const auto with = nextMembership(*without, {joiner(77, "10.0.0.3:1")}, {});
   ASSERT_TRUE(with);
   ASSERT_NE(with->find(77), nullptr);
@@ -44,7 +44,7 @@
 }
 
 TEST(MemberReplacement, ASilentVoterGivesWayOnlyToAVoterThatStands) {
-  const NodeId silent = firstIdentity("10.0.0.1:1");
+  const NodeId silent = initialNodeId("10.0.0.1:1");
   Membership four = group();
   four.members.push_back(joiner(88, "10.0.0.4:1"));
   EXPECT_FALSE(nextMembership(four, {}, {{silent, seconds(100)}}));
--- a/tests/core/consensus/raft_test.cc
+++ b/tests/core/consensus/raft_test.cc
@@ -144,7 +144,7 @@
 
   double loss = 0;
   double copies = 0;
-  std::optional<Duration> first_election_timeout;
+  std::optional<Duration> initial_election_timeout;
 
  private:
   struct Node {
@@ -163,7 +163,7 @@
     RaftOptions options;
     options.id = node.id;
     options.random_seed = random_.next();
-    options.first_election_timeout = first_election_timeout;
+    options.initial_election_timeout = initial_election_timeout;
     node.raft = std::make_unique<RaftNode>(options, node.disk.recovery, now_);
   }
 
@@ -357,7 +357,7 @@
   RaftOptions options;
   options.id = 1;
   options.election_timeout = milliseconds(500);
-  options.first_election_timeout = milliseconds(80);
+  options.initial_election_timeout = milliseconds(80);
   Disk disk;
   {
     Membership members;
@@ -389,7 +389,7 @@
   Duration longest{0};
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     Cluster cluster(GetParam(), seed);
-    cluster.first_election_timeout = milliseconds(80);
+    cluster.initial_election_timeout = milliseconds(80);
     longest = std::max(longest, cluster.restartAll());
   }
   EXPECT_LE(longest.count(), Duration(milliseconds(400)).count());
--- a/tests/core/crash_evidence/evidence_log_test.cc
+++ b/tests/core/crash_evidence/evidence_log_test.cc
@@ -54,7 +54,7 @@
 
 TEST(evidence_log, is_part_of_the_replicated_state_and_of_its_snapshot) {
   auto command = Command();
-  command.type = CommandType::kKeepEvidence;
+  command.type = CommandType::kRecordEvidence;
   command.leader_clock_ms = clock_ms;
   command.evidence = encode(evidence_batch{{record("a", 1, true)}});
   auto state = ControlState(1);
--- a/tests/core/session/proxy_session_test.cc
+++ b/tests/core/session/proxy_session_test.cc
@@ -224,7 +224,7 @@
     options.address = "10.0.0.1:1";
     options.raft.id = 1;
     options.registry_epoch = 7;
-    options.snapshots.log_per_snapshot = 8;
+    options.snapshots.max_log_ratio = 8;
     return options;
   }
   TimePoint now_{0};
