--- a/core/control/control_proxy_polls.cc
+++ b/core/control/control_proxy_polls.cc
@@ -26,7 +26,7 @@
 void ControlCore::onProxyPoll(ControlToken token, const ControlRequest& request, TimePoint now) {
   const auto poll = decode<ProxyPoll>(request.proxy_poll);
   if (!poll) {
-    answerError(token, ErrorKind::kMalformedRequest, "malformed poll");
+    answerError(token, ErrorKind::kMalformedRequest, "not a poll");
     return;
   }
   counters_.polls += 1;
--- a/core/control/control_quotas.cc
+++ b/core/control/control_quotas.cc
@@ -14,7 +14,7 @@
 void ControlCore::onQuotaReport(ControlToken token, const ControlRequest& request, TimePoint now) {
   const auto report = decode<quota_report>(request.quota_report);
   if (!report) {
-    answerError(token, ErrorKind::kMalformedRequest, "malformed quota report");
+    answerError(token, ErrorKind::kMalformedRequest, "not a report");
     return;
   }
   if (raft_.role() != RaftRole::kLeader) {
--- a/core/control/control_state.cc
+++ b/core/control/control_state.cc
@@ -160,8 +160,7 @@
 CommandResult ControlState::replaceTraffic(const Command& command, ConfigurationVersion version) {
   const auto replacement = decode<TrafficReplacement>(command.traffic);
   if (!replacement) {
-    return failure(ErrorKind::kMalformedRequest,
-                   "malformed replacement of the traffic configuration");
+    return failure(ErrorKind::kMalformedRequest, "not a replacement of the traffic configuration");
   }
   TrafficResult applied = traffic_.apply(*replacement, version.index);
   CommandResult result = failure(applied.error, std::move(applied.reason));
@@ -172,7 +171,7 @@
 CommandResult ControlState::recordEvidence(const Command& command) {
   const auto batch = decode<evidence_batch>(command.evidence);
   if (!batch) {
-    return failure(ErrorKind::kMalformedRequest, "malformed batch of evidence");
+    return failure(ErrorKind::kMalformedRequest, "not a batch of evidence");
   }
   evidence_.apply(*batch, command.leader_clock_ms);
   return {};
