--- a/core/admission/overload_below.cc
+++ b/core/admission/downstream_overload.cc
@@ -1,4 +1,4 @@
-#include "core/admission/overload_below.h"
+#include "core/admission/downstream_overload.h"
 
 #include <algorithm>
 #include <cmath>
@@ -40,8 +40,8 @@
 
 }  // namespace
 
-void overload_below::on_answer(const std::string& route,
-                               const std::vector<service_overload>& reported, TimePoint now) {
+void downstream_overload::on_answer(const std::string& route,
+                                    const std::vector<service_overload>& reported, TimePoint now) {
   if (this->routes.size() >= max_routes && this->routes.count(route) == 0) {
     this->routes.clear();
   }
@@ -61,7 +61,7 @@
   }
 }
 
-void overload_below::add_report(const std::string& service, double level, TimePoint now) {
+void downstream_overload::add_report(const std::string& service, double level, TimePoint now) {
   if (this->levels.size() >= max_services && this->levels.count(service) == 0) {
     this->levels.clear();
   }
@@ -72,7 +72,7 @@
   known.reported = now;
 }
 
-auto overload_below::of(const std::string& route, TimePoint now) const
+auto downstream_overload::of(const std::string& route, TimePoint now) const
     -> std::vector<service_overload> {
   auto found_levels = std::vector<service_overload>();
   const auto found = this->routes.find(route);
--- a/core/admission/overload_below.h
+++ b/core/admission/downstream_overload.h
@@ -25,7 +25,7 @@
   shed_level level;
 };
 
-class overload_below {
+class downstream_overload {
  public:
   /// An answer to a request of `route` reported these levels; a service that it leaves out has no
   /// overload.
--- a/core/admission/inbound_refusal.cc
+++ b/core/admission/inbound_refusal.cc
@@ -8,7 +8,7 @@
 
 }  // namespace
 
-auto terms_of(inbound_refusal refusal) -> refusal_terms {
+auto traits_of(inbound_refusal refusal) -> refusal_traits {
   using kind = refusal_kind;
   using counter = refusal_counter;
   switch (refusal) {
@@ -18,7 +18,7 @@
       return {kind::fenced, "other instance", unavailable, counter::fenced};
     case inbound_refusal::trial_elsewhere:
       return {kind::elsewhere, "tried elsewhere", unavailable, counter::none};
-    case inbound_refusal::not_alone:
+    case inbound_refusal::isolation_timed_out:
       return {kind::elsewhere, "not alone", unavailable, counter::none};
     case inbound_refusal::blocked:
       return {kind::blocked, "ends servers", unavailable, counter::blocked};
@@ -26,7 +26,7 @@
       return {kind::busy, "server fails", unavailable, counter::breaker};
     case inbound_refusal::queue_full:
       return {kind::busy, "queue", unavailable, counter::refused};
-    case inbound_refusal::patience_ended:
+    case inbound_refusal::queue_timeout:
       return {kind::busy, "waited", unavailable, counter::refused};
     case inbound_refusal::beyond_rate:
       return {kind::busy, "limit", unavailable, counter::refused};
--- a/core/admission/isolation_rule.cc
+++ b/core/admission/isolation_rule.cc
@@ -15,30 +15,32 @@
 
 }  // namespace
 
-auto beginning_of(const suspicion_state& held, bool has_trial) -> beginning {
-  return std::visit(overloaded{[](const unsuspected&) { return beginning(begins_beside_others{}); },
-                               [](const suspected& s) {
-                                 return beginning(begins_alone{s.crashes == 1 ? suspicion::light
-                                                                              : suspicion::heavy});
-                               },
-                               [&](const on_trial&) {
-                                 return has_trial ? beginning(begins_alone{suspicion::heavy})
-                                                  : beginning(begins_elsewhere{});
-                               },
-                               [](const blocked& b) { return beginning(begins_nowhere{b.until}); }},
-                    held);
+auto dispatch_mode_of(const suspicion_state& held, bool has_trial) -> beginning {
+  return std::visit(
+      overloaded{[](const unsuspected&) { return beginning(dispatch_shared{}); },
+                 [](const suspected& s) {
+                   return beginning(
+                       dispatch_isolated{s.crashes == 1 ? suspicion::light : suspicion::heavy});
+                 },
+                 [&](const on_trial&) {
+                   return has_trial ? beginning(dispatch_isolated{suspicion::heavy})
+                                    : beginning(dispatch_elsewhere{});
+                 },
+                 [](const blocked& b) { return beginning(dispatch_blocked{b.until}); }},
+      held);
 }
 
-auto isolation_time(suspicion level, Duration left, std::optional<Duration> patience) -> Duration {
+auto isolation_timeout(suspicion level, Duration left, std::optional<Duration> patience)
+    -> Duration {
   const auto share = left / (level == suspicion::light ? light_divisor : heavy_divisor);
   return std::min(share, patience.value_or(share));
 }
 
-auto refusal_when_not_alone(suspicion level) -> std::optional<inbound_refusal> {
+auto refusal_after_isolation_timeout(suspicion level) -> std::optional<inbound_refusal> {
   if (level == suspicion::light) {
     return std::nullopt;
   }
-  return inbound_refusal::not_alone;
+  return inbound_refusal::isolation_timed_out;
 }
 
 }  // namespace ramppond
--- a/core/admission/isolation_rule.h
+++ b/core/admission/isolation_rule.h
@@ -20,30 +20,31 @@
   heavy,  // at more than one, or it is on trial
 };
 
-struct begins_beside_others {};
+struct dispatch_shared {};
 /// It waits until no other suspected request runs at the server.
-struct begins_alone {
+struct dispatch_isolated {
   suspicion level;
 };
 /// Other servers of the service may run it.
-struct begins_elsewhere {};
+struct dispatch_elsewhere {};
 /// No server runs it before `blocked_until`.
-struct begins_nowhere {
+struct dispatch_blocked {
   TimePoint blocked_until;
 };
 using beginning =
-    std::variant<begins_beside_others, begins_alone, begins_elsewhere, begins_nowhere>;
+    std::variant<dispatch_shared, dispatch_isolated, dispatch_elsewhere, dispatch_blocked>;
 
 /// `has_trial` is whether a request on trial would run at this server; for others it is not used.
-[[nodiscard]] auto beginning_of(const suspicion_state& held, bool has_trial) -> beginning;
+[[nodiscard]] auto dispatch_mode_of(const suspicion_state& held, bool has_trial) -> beginning;
 
 /// How long a request with `left` until its deadline waits to run alone. One whose end is held back
 /// by its sender waits no longer than its `patience`, after which the sender tries another server.
-[[nodiscard]] auto isolation_time(suspicion level, Duration left, std::optional<Duration> patience)
-    -> Duration;
+[[nodiscard]] auto isolation_timeout(suspicion level, Duration left,
+                                     std::optional<Duration> patience) -> Duration;
 
 /// What follows when it has waited for that in vain: a refusal, or nothing if it begins beside
 /// others.
-[[nodiscard]] auto refusal_when_not_alone(suspicion level) -> std::optional<inbound_refusal>;
+[[nodiscard]] auto refusal_after_isolation_timeout(suspicion level)
+    -> std::optional<inbound_refusal>;
 
 }  // namespace ramppond
--- a/core/admission/overload_controller.cc
+++ b/core/admission/overload_controller.cc
@@ -36,10 +36,10 @@
   if (offered.wait <= Duration(0)) {
     return std::min(1.0, offered.utilization);
   }
-  if (offered.pressing_wait <= Duration(0)) {
+  if (offered.reference_wait <= Duration(0)) {
     return 1 + max_pressing_waits;
   }
-  return 1 + std::min(max_pressing_waits, ratio(offered.wait, offered.pressing_wait));
+  return 1 + std::min(max_pressing_waits, ratio(offered.wait, offered.reference_wait));
 }
 
 }  // namespace
--- a/core/admission/overload_controller.h
+++ b/core/admission/overload_controller.h
@@ -28,7 +28,8 @@
 struct offered_load {
   double utilization = 0;  ///< Share of its slots in use, this request's included; 1 if it waits.
   Duration wait{0};        ///< Expected before the request is dispatched.
-  Duration pressing_wait{0};  ///< The wait that counts as full pressure; core/admission/patience.h.
+  Duration reference_wait{
+      0};  ///< The wait that counts as full pressure; core/admission/patience.h.
 };
 
 class overload_controller {
--- a/core/admission/patience.h
+++ b/core/admission/patience.h
@@ -27,7 +27,7 @@
 }
 
 /// The wait that counts as full pressure at the server, for a request with this patience.
-constexpr auto pressing_wait(Duration patience, bool is_call) -> Duration {
+constexpr auto reference_wait(Duration patience, bool is_call) -> Duration {
   return is_call ? patience * call_patience_divisor / patience_divisor : patience;
 }
 
--- a/core/admission/request_time.h
+++ b/core/admission/request_time.h
@@ -10,7 +10,7 @@
 
 // A server that gets a request with less left answers that its time is over, after it has taken a
 // slot for it. With a larger minimum, requests are refused that could still be answered.
-constexpr auto least_time_to_begin = milliseconds(2);
+constexpr auto min_time_to_dispatch = milliseconds(2);
 
 // The proxy that sent a request gives it up at its deadline, which it counts from its own receipt
 // of the request and so a moment before this proxy. With a smaller margin, requests that the server
@@ -23,12 +23,12 @@
 constexpr auto confirmation_time = milliseconds(300);
 
 /// Whether a request with `left` until its deadline is still handed to the server.
-[[nodiscard]] constexpr auto has_time_to_begin(Duration left) -> bool {
-  return left >= least_time_to_begin;
+[[nodiscard]] constexpr auto has_time_to_dispatch(Duration left) -> bool {
+  return left >= min_time_to_dispatch;
 }
 
 /// How a run ended that its sender gave up with `left` until the request's deadline.
-[[nodiscard]] constexpr auto outcome_of_given_up(Duration left) -> ServerOutcome {
+[[nodiscard]] constexpr auto outcome_of_abandoned(Duration left) -> ServerOutcome {
   return left <= deadline_margin ? ServerOutcome::kNoAnswer : ServerOutcome::kWithdrawn;
 }
 
--- a/core/admission/run_outcome.cc
+++ b/core/admission/run_outcome.cc
@@ -37,7 +37,7 @@
   return ServerOutcome::kLost;
 }
 
-auto refusal_after(run_failure failure, answer_progress progress, bool others_stand)
+auto refusal_after(run_failure failure, answer_progress progress, bool has_other_connections)
     -> std::optional<inbound_refusal> {
   switch (failure) {
     case run_failure::no_socket:
@@ -45,7 +45,7 @@
     case run_failure::not_connected:
       return inbound_refusal::no_connection;
     case run_failure::refused:
-      return others_stand ? inbound_refusal::no_connection : inbound_refusal::server_gone;
+      return has_other_connections ? inbound_refusal::no_connection : inbound_refusal::server_gone;
     case run_failure::connection_lost:
     case run_failure::invalid_answer:
       break;
--- a/core/admission/run_outcome.h
+++ b/core/admission/run_outcome.h
@@ -45,10 +45,10 @@
 };
 
 /// The answer in place of the server's. Nothing if the server's answer has begun: it breaks off.
-/// `others_stand` tells whether other connections to the server stand, and is used only when it
-/// refused one: with some, the server is full; without any, it is gone.
-[[nodiscard]] auto refusal_after(run_failure failure, answer_progress progress, bool others_stand)
-    -> std::optional<inbound_refusal>;
+/// `has_other_connections` tells whether other connections to the server stand, and is used only
+/// when it refused one: with some, the server is full; without any, it is gone.
+[[nodiscard]] auto refusal_after(run_failure failure, answer_progress progress,
+                                 bool has_other_connections) -> std::optional<inbound_refusal>;
 
 /// What the circuit breaker is told of the server.
 enum class breaker_signal : std::uint8_t { success, failure, unknown };
--- a/core/admission/server_admission.cc
+++ b/core/admission/server_admission.cc
@@ -72,13 +72,13 @@
   rate_.on_offer(now);
   if (underWay() < limit_ && waiting_.empty() && rate_.take(now)) {
     service_time_.on_begun(now);
-    overload_.on_offer({utilization(now), Duration(0), request.pressing_wait}, now);
+    overload_.on_offer({utilization(now), Duration(0), request.reference_wait}, now);
     return AdmissionVerdict::kDispatch;
   }
   const Position position = positionOf(request, now);
   const Duration slot_wait = waitForSlot(position);
   const Duration rate_wait = waitForRate(position, now);
-  overload_.on_offer({1, std::max(slot_wait, rate_wait), request.pressing_wait}, now);
+  overload_.on_offer({1, std::max(slot_wait, rate_wait), request.reference_wait}, now);
   if (rate_wait > request.patience) {
     return AdmissionVerdict::kRefuseForRate;
   }
@@ -94,7 +94,7 @@
   if (underWay() == 0) {
     return;
   }
-  const bool done = isWork(outcome);
+  const bool done = isCompletedRun(outcome);
   service_time_.on_ended(begun, done, now);
   if (outcome != ServerOutcome::kWithdrawn) {
     const double failed = done ? 0.0 : 1.0;
@@ -153,8 +153,8 @@
   return expired;
 }
 
-std::optional<TimePoint> ServerAdmission::nextPlace(TimePoint now) const {
-  if (waiting_.empty() || !waitsForRate()) {
+std::optional<TimePoint> ServerAdmission::nextRateToken(TimePoint now) const {
+  if (waiting_.empty() || !isRateLimited()) {
     return std::nullopt;
   }
   return now + rate_.wait_for(1, now);
--- a/core/admission/server_admission.h
+++ b/core/admission/server_admission.h
@@ -45,7 +45,7 @@
 };
 
 /// Whether the server worked on the request to its end, so that the time taken shows its speed.
-inline bool isWork(ServerOutcome outcome) {
+inline bool isCompletedRun(ServerOutcome outcome) {
   return outcome == ServerOutcome::kAnswered || outcome == ServerOutcome::kDeadline;
 }
 
@@ -60,8 +60,9 @@
   AdmissionId id = 0;
   std::uint32_t priority = 0;  ///< 0 is the most urgent.
   Duration patience{0};        ///< The longest that it may wait.
-  Duration pressing_wait{0};  ///< The wait that counts as full pressure; core/admission/patience.h.
-  bool is_call = false;       ///< Sent by a server, or its origin is not known.
+  Duration reference_wait{
+      0};                ///< The wait that counts as full pressure; core/admission/patience.h.
+  bool is_call = false;  ///< Sent by a server, or its origin is not known.
   /// The server's time for requests of its route; unknown counts as 0.
   std::optional<Duration> service_time = std::nullopt;
 };
@@ -77,7 +78,7 @@
   /// A request that was dispatched at `begun` has ended.
   void onFinished(TimePoint begun, ServerOutcome outcome, TimePoint now);
   /// A dispatched request ended before it was sent to the server, so the server did not get it.
-  void onNeverSent(TimePoint now) { rate_.give_back(now); }
+  void onNotSent(TimePoint now) { rate_.return_token(now); }
   /// Removes a waiting request; ignored if it does not wait.
   void withdraw(AdmissionId id);
   /// The next waiting request, if the server has a free slot and its rate a place; it counts as
@@ -88,9 +89,9 @@
   /// When takeExpired() may next return a request.
   [[nodiscard]] std::optional<TimePoint> nextExpiry() const;
   /// When takeDispatchable() may next return a request that waits for its place in the rate.
-  [[nodiscard]] std::optional<TimePoint> nextPlace(TimePoint now) const;
+  [[nodiscard]] std::optional<TimePoint> nextRateToken(TimePoint now) const;
   /// Whether a request that waits now does so for the rate, not for a slot.
-  [[nodiscard]] bool waitsForRate() const { return rate_.is_limited() && underWay() < limit_; }
+  [[nodiscard]] bool isRateLimited() const { return rate_.is_limited() && underWay() < limit_; }
 
   [[nodiscard]] std::size_t underWay() const {
     return static_cast<std::size_t>(service_time_.under_way());
--- a/core/admission/shedding.cc
+++ b/core/admission/shedding.cc
@@ -21,8 +21,8 @@
   return static_cast<std::uint32_t>(less_urgent.size());
 }
 
-auto overload_of_calls(const std::string& route, const call_attribution& calls,
-                       const overload_below& overload, TimePoint now)
+auto downstream_overload_of(const std::string& route, const call_attribution& calls,
+                            const downstream_overload& overload, TimePoint now)
     -> std::vector<service_overload> {
   auto levels = std::vector<service_overload>();
   for (const auto& call : calls.calls_of(route)) {
--- a/core/admission/shedding.h
+++ b/core/admission/shedding.h
@@ -1,5 +1,5 @@
 // What a proxy knows of the requests around one when it decides whether to refuse it where it
-// begins, for overload at servers further down; see shed_share() in overload_below.h.
+// begins, for overload at servers further down; see shed_share() in downstream_overload.h.
 //
 // Pure, thread safe.
 #pragma once
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "core/admission/overload_below.h"
+#include "core/admission/downstream_overload.h"
 #include "core/retries/call_attribution.h"
 #include "core/tenants/tenant_rank.h"
 #include "core/time.h"
@@ -25,8 +25,8 @@
 
 /// Overload at the services that requests of `route` need when they run at the own server: the
 /// highest level of each, over all routes that they call.
-[[nodiscard]] auto overload_of_calls(const std::string& route, const call_attribution& calls,
-                                     const overload_below& overload, TimePoint now)
+[[nodiscard]] auto downstream_overload_of(const std::string& route, const call_attribution& calls,
+                                          const downstream_overload& overload, TimePoint now)
     -> std::vector<service_overload>;
 
 }  // namespace ramppond
--- a/core/answers/front_shedding.h
+++ b/core/answers/front_shedding.h
@@ -7,7 +7,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "core/admission/overload_below.h"
+#include "core/admission/downstream_overload.h"
 #include "core/random.h"
 #include "core/retries/call_attribution.h"
 
--- a/core/answers/own_answer.cc
+++ b/core/answers/own_answer.cc
@@ -20,11 +20,11 @@
     {kind::body_too_large, 413, promise::rejected, source::none, counter::none, "body too large"},
     {kind::unknown_key, 401, promise::rejected, source::none, counter::no_tenant,
      "no tenant holds this key"},
-    {kind::keys_unjudged, 503, promise::not_run, source::goal, counter::no_authority,
+    {kind::keys_unverifiable, 503, promise::not_run, source::goal, counter::no_authority,
      "keys cannot be judged now"},
     {kind::beyond_tenant_limit, 429, promise::rejected, source::quota, counter::beyond_limit,
      "beyond the tenant's limit"},
-    {kind::overload_below, 503, promise::not_run, source::goal, counter::shed, ""},
+    {kind::downstream_overload, 503, promise::not_run, source::goal, counter::shed, ""},
     {kind::deadline_not_run, 503, promise::not_run, source::goal, counter::none, "deadline"},
     {kind::deadline_may_have_run, 504, promise::may_have_run, source::none, counter::none,
      "deadline"},
@@ -48,8 +48,8 @@
   return {kind::beyond_tenant_limit, {}, retry_after};
 }
 
-auto answer_overload_below(std::string service) -> own_answer {
-  return {kind::overload_below, std::move(service)};
+auto answer_downstream_overload(std::string service) -> own_answer {
+  return {kind::downstream_overload, std::move(service)};
 }
 
 auto answer_after_attempts(const ended_attempts& ended) -> own_answer {
@@ -72,7 +72,7 @@
 
 auto reason_of(const own_answer& answer) -> std::string {
   switch (answer.kind) {
-    case kind::overload_below:
+    case kind::downstream_overload:
       return std::string(overload_text) + answer.detail;
     case kind::attempts_not_run:
     case kind::attempts_blocked:
@@ -88,12 +88,12 @@
     case source::none:
       return no_retry_after{};
     case source::without_configuration:
-      return spread_from{retry_after_without_configuration};
+      return jittered_retry_after{retry_after_without_configuration};
     case source::goal:
-      return spread_from{least_retry_after_for(goal)};
+      return jittered_retry_after{min_retry_after_for(goal)};
     case source::quota:
     case source::block:
-      return stated_retry_after{answer.stated_time};
+      return exact_retry_after{answer.stated_time};
   }
   return no_retry_after{};
 }
--- a/core/answers/own_answer.h
+++ b/core/answers/own_answer.h
@@ -21,9 +21,9 @@
   no_route,               ///< For its host and path.
   body_too_large,         ///< By the limit of the configuration.
   unknown_key,            ///< No key, or one that no tenant holds.
-  keys_unjudged,          ///< The lease on the keys has lapsed.
+  keys_unverifiable,      ///< The lease on the keys has lapsed.
   beyond_tenant_limit,    ///< With the time after which the tenant may send again.
-  overload_below,         ///< With the name of the overloaded service.
+  downstream_overload,    ///< With the name of the overloaded service.
   deadline_not_run,       ///< It came before any attempt may have run.
   deadline_may_have_run,  ///< It came after that.
   no_server,              ///< None is known that was not tried, and no attempt has run.
@@ -76,7 +76,7 @@
 /// An answer with what its kind needs beside the table. Made by the functions below.
 struct own_answer {
   own_answer_kind kind;
-  /// overload_below: the service; attempts_*: the reason of the last attempt.
+  /// downstream_overload: the service; attempts_*: the reason of the last attempt.
   std::string detail = {};
   /// beyond_tenant_limit, attempts_blocked: the time that Retry-After tells.
   Duration stated_time{0};
@@ -90,7 +90,7 @@
 };
 
 auto answer_beyond_tenant_limit(Duration retry_after) -> own_answer;
-auto answer_overload_below(std::string service) -> own_answer;
+auto answer_downstream_overload(std::string service) -> own_answer;
 /// No further attempt follows.
 auto answer_after_attempts(const ended_attempts& ended) -> own_answer;
 /// No server is left to try.
@@ -103,14 +103,14 @@
 
 struct no_retry_after {};
 /// Tells this time.
-struct stated_retry_after {
+struct exact_retry_after {
   Duration time;
 };
-/// Tells a time that is to be drawn by spread_retry_after().
-struct spread_from {
+/// Tells a time that is to be drawn by add_retry_after_jitter().
+struct jittered_retry_after {
   Duration least;
 };
-using retry_after_verdict = std::variant<no_retry_after, stated_retry_after, spread_from>;
+using retry_after_verdict = std::variant<no_retry_after, exact_retry_after, jittered_retry_after>;
 
 /// `goal`: of the request's route; not looked at where no route is known.
 auto retry_after_of(const own_answer& answer, Duration goal) -> retry_after_verdict;
--- a/core/answers/retry_after.cc
+++ b/core/answers/retry_after.cc
@@ -4,11 +4,11 @@
 
 namespace ramppond {
 
-auto least_retry_after_for(Duration goal) -> Duration {
-  return std::max(goal / retry_after_divisor, least_retry_after);
+auto min_retry_after_for(Duration goal) -> Duration {
+  return std::max(goal / retry_after_divisor, retry_after_floor);
 }
 
-auto spread_retry_after(Duration least, retry_after_draw draw) -> Duration {
+auto add_retry_after_jitter(Duration least, retry_after_draw draw) -> Duration {
   const auto time = static_cast<double>(least.count()) * (1 + draw.value);
   return Duration(static_cast<std::int64_t>(time));
 }
--- a/core/answers/retry_after.h
+++ b/core/answers/retry_after.h
@@ -16,7 +16,7 @@
 constexpr auto retry_after_divisor = std::int64_t(3);
 
 /// For routes with a short goal: a shortage of room lasts for several round trips.
-constexpr auto least_retry_after = Duration(milliseconds(100));
+constexpr auto retry_after_floor = Duration(milliseconds(100));
 
 /// Without a configuration there is no goal: the control group elects a leader in about this time,
 /// and before that no proxy has anything new.
@@ -28,10 +28,10 @@
 };
 
 /// The least time told for a request of a route with this goal.
-auto least_retry_after_for(Duration goal) -> Duration;
+auto min_retry_after_for(Duration goal) -> Duration;
 
 /// Between `least` and twice that.
-auto spread_retry_after(Duration least, retry_after_draw draw) -> Duration;
+auto add_retry_after_jitter(Duration least, retry_after_draw draw) -> Duration;
 
 /// Seconds with three decimals, rounded down.
 auto format_retry_after(Duration time) -> std::string;
--- a/core/call_port/inbound_calls.cc
+++ b/core/call_port/inbound_calls.cc
@@ -189,7 +189,7 @@
   }
   counters_.claims_denied += 1;
   in_flight_.erase(id);
-  rate_.give_back(now);
+  rate_.return_token(now);
   CallAnswer answer = errorCallAnswer(id, reply.error);
   if (reply.error == ErrorKind::kNone) {
     answer.outcome = Outcome::kRan;
@@ -245,7 +245,7 @@
     return;
   }
   if (never_sent) {
-    rate_.give_back(now);
+    rate_.return_token(now);
   }
   const ErrorKind kind = never_sent ? ErrorKind::kBackendUnreachable : ErrorKind::kBackendLost;
   CallAnswer answer = errorCallAnswer(id, kind);
@@ -334,7 +334,7 @@
   }
   if (call.state == State::kClaiming) {
     claimAction(CommandType::kReleaseClaim, call, nullptr);
-    rate_.give_back(now);
+    rate_.return_token(now);
   }
   if (call.state == State::kDispatched) {
     actions.emplace_back(CancelBackend{id});
@@ -379,7 +379,7 @@
   for (const CallId& id : claims_due) {
     const auto position = calls_.find(id);
     counters_.claims_timed_out += 1;
-    rate_.give_back(now);
+    rate_.return_token(now);
     claimAction(CommandType::kReleaseClaim, position->second, nullptr);
     in_flight_.erase(id);
     CallAnswer answer = errorCallAnswer(id, ErrorKind::kNoQuorum);
--- a/core/call_port/inbound_calls.h
+++ b/core/call_port/inbound_calls.h
@@ -16,7 +16,7 @@
 #include "core/call_port/seen_calls.h"
 #include "core/control/control_state.h"
 #include "core/random.h"
-#include "core/rate_limit/limit_in_force.h"
+#include "core/rate_limit/effective_limit.h"
 #include "core/rate_limit/rate_bucket.h"
 
 namespace ramppond {
@@ -133,7 +133,7 @@
 
   InboundOptions options_;
   std::unique_ptr<ConcurrencyLimiter> limiter_;
-  limit_in_force named_;  ///< Calls a second, as the back end names it.
+  effective_limit named_;  ///< Calls a second, as the back end names it.
   rate_bucket rate_;
   AdmissionQueue queue_;
   AdmissionCut cut_;
--- a/core/lifecycle/proxy_stop_times.h
+++ b/core/lifecycle/proxy_stop_times.h
@@ -12,7 +12,7 @@
 
 // Clients stop sending after they were told twice, a second apart, that the proxy is not ready.
 // With less, they send to listeners that are closed; with more, the stop takes longer than it must.
-constexpr auto least_stop_time = milliseconds(2100);
+constexpr auto min_stop_time = milliseconds(2100);
 
 // Until then peers that know no other server may still send requests. With less, services are down
 // whose only server is beside a stopping proxy; with more, what was begun late does not end before
@@ -28,7 +28,7 @@
 
 /// `grace` is the time from the platform's signal to stop until it ends the process.
 [[nodiscard]] constexpr auto proxy_stop_times(Duration grace) -> stop_times {
-  return {peers_served_while_stopping, least_stop_time, grace / close_latest_divisor,
+  return {peers_served_while_stopping, min_stop_time, grace / close_latest_divisor,
           grace - grace_margin};
 }
 
--- a/core/placement/instance_directory.cc
+++ b/core/placement/instance_directory.cc
@@ -123,7 +123,7 @@
          excluded.count(instance.record.proxy_address) == 0;
 }
 
-std::vector<std::string> InstanceDirectory::proxiesBeside(const std::string& service) const {
+std::vector<std::string> InstanceDirectory::proxiesOf(const std::string& service) const {
   std::vector<std::string> daemons;
   const auto found = by_service_.find(service);
   if (found == by_service_.end()) {
--- a/core/placement/instance_directory.h
+++ b/core/placement/instance_directory.h
@@ -90,7 +90,7 @@
   /// Number of proxies that a record came from.
   [[nodiscard]] std::size_t size() const { return by_proxy_.size(); }
   /// The proxies beside ready servers of `service`.
-  [[nodiscard]] std::vector<std::string> proxiesBeside(const std::string& service) const;
+  [[nodiscard]] std::vector<std::string> proxiesOf(const std::string& service) const;
 
   /// A request was sent to it.
   void onSent(KnownInstance& instance, TimePoint now);
--- a/core/rate_limit/limit_in_force.cc
+++ b/core/rate_limit/effective_limit.cc
@@ -1,4 +1,4 @@
-#include "core/rate_limit/limit_in_force.h"
+#include "core/rate_limit/effective_limit.h"
 
 #include "core/overloaded.h"
 
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-auto limit_in_force::on_answer(const named_limit& answered, TimePoint dispatched, TimePoint now)
+auto effective_limit::on_answer(const named_limit& answered, TimePoint dispatched, TimePoint now)
     -> bool {
   this->has_answer = true;
   return std::visit(
@@ -22,11 +22,11 @@
       answered);
 }
 
-auto limit_in_force::on_told_by_peer(request_rate told, TimePoint now) -> bool {
+auto effective_limit::on_peer_report(request_rate told, TimePoint now) -> bool {
   return !this->has_answer && this->take(told, now, now);
 }
 
-auto limit_in_force::take(request_rate rate, TimePoint dispatched, TimePoint now) -> bool {
+auto effective_limit::take(request_rate rate, TimePoint dispatched, TimePoint now) -> bool {
   const auto made_later = dispatched >= this->named;
   if (this->limit && rate.per_second > this->limit->per_second && !made_later) {
     return false;
@@ -37,7 +37,7 @@
   return changed;
 }
 
-auto limit_in_force::lift(TimePoint dispatched, TimePoint now) -> bool {
+auto effective_limit::lift(TimePoint dispatched, TimePoint now) -> bool {
   const auto made_later = dispatched >= this->named;
   if (!this->limit || !made_later || now - this->named < limit_outlasts_naming) {
     return false;
@@ -46,7 +46,7 @@
   return true;
 }
 
-auto limit_in_force::age(TimePoint now) const -> Duration {
+auto effective_limit::age(TimePoint now) const -> Duration {
   return this->limit ? now - this->named : Duration(0);
 }
 
--- a/core/rate_limit/limit_in_force.h
+++ b/core/rate_limit/effective_limit.h
@@ -18,7 +18,7 @@
 
 namespace ramppond {
 
-class limit_in_force {
+class effective_limit {
  public:
   /// An answer to a request that was dispatched at `dispatched` names this. Returns whether the
   /// limit has changed; one that can't be read changes nothing.
@@ -26,7 +26,7 @@
 
   /// A peer was told this limit by an answer of the server. It holds if no answer has come here
   /// yet, which is so after a restart of this proxy. Returns whether the limit has changed.
-  auto on_told_by_peer(request_rate told, TimePoint now) -> bool;
+  auto on_peer_report(request_rate told, TimePoint now) -> bool;
 
   [[nodiscard]] auto rate() const -> std::optional<request_rate> { return this->limit; }
   /// Time since the limit was named last; 0 without a limit.
--- a/core/rate_limit/rate_bucket.cc
+++ b/core/rate_limit/rate_bucket.cc
@@ -72,7 +72,7 @@
   return true;
 }
 
-void rate_bucket::give_back(TimePoint now) {
+void rate_bucket::return_token(TimePoint now) {
   this->refill(now);
   this->places = std::min(this->capacity(), this->places + 1);
 }
--- a/core/rate_limit/rate_bucket.h
+++ b/core/rate_limit/rate_bucket.h
@@ -28,7 +28,7 @@
   /// Takes the place of one request; false if there is none now.
   auto take(TimePoint now) -> bool;
   /// A request that took a place has not reached the server and will not.
-  void give_back(TimePoint now);
+  void return_token(TimePoint now);
 
   /// Time until `places` requests may have been dispatched, if nobody else takes a place.
   [[nodiscard]] auto wait_for(std::size_t places, TimePoint now) const -> Duration;
--- a/core/retries/call_attribution.cc
+++ b/core/retries/call_attribution.cc
@@ -99,7 +99,7 @@
   const auto known = this->calls_per_run.find(only->route);
   if (known != this->calls_per_run.end()) {
     const auto all = static_cast<std::uint32_t>(known->second + rounding);
-    request.calls_to_come = all - std::min(all, only->calls);
+    request.remaining_calls = all - std::min(all, only->calls);
   }
 }
 
--- a/core/retries/call_attribution.h
+++ b/core/retries/call_attribution.h
@@ -33,7 +33,7 @@
 struct attributed_request {
   request_origin origin = request_origin::client;
   /// Calls that its run still makes after it; nothing if the run is not known.
-  std::optional<std::uint32_t> calls_to_come = std::nullopt;
+  std::optional<std::uint32_t> remaining_calls = std::nullopt;
   /// Some run that may have made it is a retry.
   bool of_retry = false;
 };
--- a/core/retries/retry_budget.cc
+++ b/core/retries/retry_budget.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-auto part_of(const shared_retries& shared, std::size_t proxies) -> retry_allowance {
+auto allowance_per_proxy(const shared_retries& shared, std::size_t proxies) -> retry_allowance {
   return {proxies == 0 ? 0 : shared_allowance_used * shared.count / static_cast<double>(proxies)};
 }
 
--- a/core/retries/retry_budget.h
+++ b/core/retries/retry_budget.h
@@ -51,7 +51,7 @@
 };
 
 /// The part of one of `proxies` in `shared`.
-auto part_of(const shared_retries& shared, std::size_t proxies) -> retry_allowance;
+auto allowance_per_proxy(const shared_retries& shared, std::size_t proxies) -> retry_allowance;
 
 class retry_budget {
  public:
--- a/core/retries/retry_budgets.cc
+++ b/core/retries/retry_budgets.cc
@@ -17,11 +17,11 @@
   return this->budgets.emplace(service, std::move(budget)).first->second;
 }
 
-void retry_budgets::share_among(std::size_t proxies, Duration uptime) {
-  if (uptime < fleet_known_after) {
+void retry_budgets::set_fleet_size(std::size_t proxies, Duration uptime) {
+  if (uptime < fleet_discovery_time) {
     return;
   }
-  this->allowance = part_of(this->shared, proxies);
+  this->allowance = allowance_per_proxy(this->shared, proxies);
   for (auto& [service, budget] : this->budgets) {
     budget.set_allowance(this->allowance);
   }
--- a/core/retries/retry_budgets.h
+++ b/core/retries/retry_budgets.h
@@ -19,7 +19,7 @@
 
 // Since the start of a proxy. All proxies are known by then: with less, each takes too large a part
 // of the retries that they share; with more, it lacks its own after every start.
-constexpr auto fleet_known_after = seconds(10);
+constexpr auto fleet_discovery_time = seconds(10);
 
 class retry_budgets {
  public:
@@ -32,7 +32,7 @@
 
   /// Gives each budget the part of one of `proxies` in the shared retries. That is nothing until
   /// the fleet is known; `uptime` is counted from the start of this proxy.
-  void share_among(std::size_t proxies, Duration uptime);
+  void set_fleet_size(std::size_t proxies, Duration uptime);
 
  private:
   retry_share ratio;
--- a/core/retries/retry_reserve.h
+++ b/core/retries/retry_reserve.h
@@ -24,16 +24,16 @@
 /// As for a call in the middle of a run of a few calls.
 constexpr auto reserve_of_unknown_place = budget_reserve{0.5};
 
-/// `calls_to_come`: calls that the run of a call still makes after it, if that run is known.
-constexpr auto reserve_of(bool is_call, std::optional<std::uint32_t> calls_to_come)
+/// `remaining_calls`: calls that the run of a call still makes after it, if that run is known.
+constexpr auto reserve_of(bool is_call, std::optional<std::uint32_t> remaining_calls)
     -> budget_reserve {
   if (!is_call) {
     return reserve_of_clients;
   }
-  if (!calls_to_come) {
+  if (!remaining_calls) {
     return reserve_of_unknown_place;
   }
-  return {std::min(max_reserve.share, reserve_per_call_to_come.share * *calls_to_come)};
+  return {std::min(max_reserve.share, reserve_per_call_to_come.share * *remaining_calls)};
 }
 
 }  // namespace ramppond
--- a/core/retries/retry_rule.cc
+++ b/core/retries/retry_rule.cc
@@ -3,17 +3,17 @@
 namespace ramppond {
 
 auto may_attempt(std::size_t attempts, Duration time_left) -> bool {
-  return attempts < max_attempts_at_request && time_left >= least_time_for_attempt;
+  return attempts < max_attempts_at_request && time_left >= min_time_for_attempt;
 }
 
-auto judge_retry(const ended_attempt& ended) -> retry_verdict {
-  if (!ended.body_held) {
-    return retry_denied{retry_denial::body_not_held};
+auto decide_retry(const ended_attempt& ended) -> retry_verdict {
+  if (!ended.body_buffered) {
+    return retry_denied{retry_denial::body_not_buffered};
   }
   if (ended.attempts >= max_attempts_at_request) {
     return retry_denied{retry_denial::too_many_attempts};
   }
-  if (ended.time_left < least_time_for_attempt) {
+  if (ended.time_left < min_time_for_attempt) {
     return retry_denied{retry_denial::no_time_left};
   }
   if (ended.end == attempt_end::blocked) {
@@ -23,7 +23,7 @@
     return retry_denied{retry_denial::too_many_lost_runs};
   }
   if (ended.end == attempt_end::not_sent) {
-    return retry_free{};
+    return retry_without_budget{};
   }
   if (ended.end == attempt_end::unknown && !ended.may_run_twice) {
     return retry_denied{retry_denial::may_have_run};
@@ -31,7 +31,7 @@
   if (ended.arrivals >= ended.max_arrivals) {
     return retry_denied{retry_denial::too_many_arrivals};
   }
-  return retry_to_be_paid{};
+  return retry_from_budget{};
 }
 
 }  // namespace ramppond
--- a/core/retries/retry_rule.h
+++ b/core/retries/retry_rule.h
@@ -20,7 +20,7 @@
 
 /// No attempt begins with less time than this left: a round trip between proxies and the shortest
 /// work would outlast it, and the server would work for nobody.
-constexpr auto least_time_for_attempt = Duration(milliseconds(10));
+constexpr auto min_time_for_attempt = Duration(milliseconds(10));
 
 /// A request that lost this many servers while it ran there more likely crashed them than stood by.
 /// With fewer, a request that merely ran beside the one that crashes servers would be given up.
@@ -30,7 +30,7 @@
 struct ended_attempt {
   attempt_end end = attempt_end::unknown;
   bool may_run_twice = false;      ///< By the kind of its route.
-  bool body_held = true;           ///< All of its body is at hand to be sent again.
+  bool body_buffered = true;       ///< All of its body is at hand to be sent again.
   std::size_t attempts = 0;        ///< Made so far, this one included.
   std::uint32_t arrivals = 0;      ///< Attempts that a server received, this one included.
   std::uint32_t max_arrivals = 1;  ///< Of its route.
@@ -39,7 +39,7 @@
 };
 
 enum class retry_denial : std::uint8_t {
-  body_not_held,
+  body_not_buffered,
   too_many_attempts,
   no_time_left,
   blocked,
@@ -52,14 +52,14 @@
   retry_denial reason;
 };
 /// No server received the request, so another attempt adds no load.
-struct retry_free {};
+struct retry_without_budget {};
 /// Another attempt follows if the budget pays for it.
-struct retry_to_be_paid {};
+struct retry_from_budget {};
 
-using retry_verdict = std::variant<retry_denied, retry_free, retry_to_be_paid>;
+using retry_verdict = std::variant<retry_denied, retry_without_budget, retry_from_budget>;
 
 /// The first denial that applies, in the order of the list.
-auto judge_retry(const ended_attempt& ended) -> retry_verdict;
+auto decide_retry(const ended_attempt& ended) -> retry_verdict;
 
 /// Whether an attempt may begin at all, after `attempts` with `time_left` until the deadline.
 auto may_attempt(std::size_t attempts, Duration time_left) -> bool;
--- a/core/retries/server_wait.h
+++ b/core/retries/server_wait.h
@@ -23,7 +23,7 @@
 /// a server already does not wait: servers are known, and they are full or lost.
 constexpr auto may_wait_for_server(std::size_t attempts, Duration waited, Duration goal,
                                    Duration time_left) -> bool {
-  return attempts == 0 && waited < goal / server_wait_divisor && time_left > least_time_for_attempt;
+  return attempts == 0 && waited < goal / server_wait_divisor && time_left > min_time_for_attempt;
 }
 
 }  // namespace ramppond
--- a/daemon/proxy/crash_guard.cc
+++ b/daemon/proxy/crash_guard.cc
@@ -56,7 +56,7 @@
 auto crash_guard::has_trial(const request_digest& digest) const -> bool {
   const auto& service = this->context.own.reports().heartbeat().service;
   return is_trial_place(digest, this->context.settings.peer_address.toString(),
-                        this->context.directory.proxiesBeside(service));
+                        this->context.directory.proxiesOf(service));
 }
 
 void crash_guard::on_reported_crash(const request_digest& digest) {
--- a/daemon/proxy/forwarded_answer.cc
+++ b/daemon/proxy/forwarded_answer.cc
@@ -170,11 +170,11 @@
 std::optional<Duration> ForwardedRequest::retryAfter(const own_answer& answer) {
   const Duration goal = terms_.route == nullptr ? Duration(0) : terms_.route->goal;
   const retry_after_verdict verdict = retry_after_of(answer, goal);
-  if (const auto* stated = std::get_if<stated_retry_after>(&verdict)) {
+  if (const auto* stated = std::get_if<exact_retry_after>(&verdict)) {
     return stated->time;
   }
-  if (const auto* drawn = std::get_if<spread_from>(&verdict)) {
-    return spread_retry_after(drawn->least, {context_.random.uniform()});
+  if (const auto* drawn = std::get_if<jittered_retry_after>(&verdict)) {
+    return add_retry_after_jitter(drawn->least, {context_.random.uniform()});
   }
   return std::nullopt;
 }
--- a/daemon/proxy/forwarded_retry.cc
+++ b/daemon/proxy/forwarded_retry.cc
@@ -96,17 +96,17 @@
   ended_attempt ended;
   ended.end = end;
   ended.may_run_twice = terms_.may_run_twice();
-  ended.body_held = !body_.is_streamed();
+  ended.body_buffered = !body_.is_streamed();
   ended.attempts = history_.tried.size();
   ended.arrivals = arrivals;
   ended.max_arrivals = terms_.route->max_attempts;
   ended.lost_runs = history_.lost_runs;
   ended.time_left = timeLeft();
-  return judge_retry(ended);
+  return decide_retry(ended);
 }
 
 bool ForwardedRequest::payForRetry() {
-  const budget_reserve reserve = reserve_of(terms_.is_call, terms_.attributed.calls_to_come);
+  const budget_reserve reserve = reserve_of(terms_.is_call, terms_.attributed.remaining_calls);
   const budget_draw draw = {context_.random.uniform()};
   const bool paid = context_.budgets.of(terms_.service).take(EventLoop::now(), reserve, draw);
   if (paid) {
@@ -118,10 +118,10 @@
 }
 
 bool ForwardedRequest::obtainRetry(const retry_verdict& verdict) {
-  if (std::holds_alternative<retry_to_be_paid>(verdict)) {
+  if (std::holds_alternative<retry_from_budget>(verdict)) {
     return payForRetry();
   }
-  return std::holds_alternative<retry_free>(verdict);
+  return std::holds_alternative<retry_without_budget>(verdict);
 }
 
 void ForwardedRequest::retry(const std::string& reason) {
--- a/daemon/proxy/forwarded_terms.cc
+++ b/daemon/proxy/forwarded_terms.cc
@@ -63,7 +63,7 @@
     return own_answer{own_answer_kind::unknown_key};
   }
   if (std::holds_alternative<key_unjudged>(found)) {
-    return own_answer{own_answer_kind::keys_unjudged};
+    return own_answer{own_answer_kind::keys_unverifiable};
   }
   this->tenant = std::get<identified>(found).tenant;
   if (this->tenant != nullptr) {
@@ -105,7 +105,7 @@
   if (refusing == nullptr) {
     return std::nullopt;
   }
-  return answer_overload_below(refusing->service);
+  return answer_downstream_overload(refusing->service);
 }
 
 }  // namespace ramppond
--- a/daemon/proxy/inbound_answer.cc
+++ b/daemon/proxy/inbound_answer.cc
@@ -49,7 +49,7 @@
 }  // namespace
 
 void InboundRequest::refuse(inbound_refusal refusal) {
-  const refusal_terms terms = terms_of(refusal);
+  const refusal_traits terms = traits_of(refusal);
   const std::string outcome(outcomeWord(terms.kind));
   const std::string reason(terms.reason);
   count(terms.counter);
@@ -128,7 +128,7 @@
     head.fields.push_back({std::string(kPeerRate), formatRate(*load.rate)});
   }
   const std::string below = formatOverload(
-      overload_of_calls(route_, context_.calls, context_.overload, EventLoop::now()));
+      downstream_overload_of(route_, context_.calls, context_.overload, EventLoop::now()));
   if (!below.empty()) {
     head.fields.push_back({std::string(kPeerOverload), below});
   }
@@ -234,9 +234,9 @@
   if (may_be_crash(failure)) {
     tellGuardOfLoss();
   }
-  const bool others_stand =
+  const bool has_other_connections =
       failure == run_failure::refused && context_.own.on_connection_refused(incarnation_);
-  const auto refusal = refusal_after(failure, answerProgress(), others_stand);
+  const auto refusal = refusal_after(failure, answerProgress(), has_other_connections);
   if (refusal) {
     refuse(*refusal);
   } else {
--- a/daemon/proxy/inbound_request.cc
+++ b/daemon/proxy/inbound_request.cc
@@ -56,7 +56,7 @@
   admission_.priority = static_cast<std::uint32_t>(std::strtoul(priority.c_str(), nullptr, 10));
   admission_.patience = parseMilliseconds(head.find(kPeerPatienceMs)).value_or(Duration(0));
   admission_.is_call = head.find(kPeerCall) != nullptr;
-  admission_.pressing_wait = pressing_wait(admission_.patience, admission_.is_call);
+  admission_.reference_wait = reference_wait(admission_.patience, admission_.is_call);
   head.removeHopByHop();
   retryable_ = head.find(kPeerRetryable) != nullptr;
   retry_ = head.find(kPeerRetry) != nullptr;
@@ -87,11 +87,12 @@
   const bool has_trial =
       std::holds_alternative<on_trial>(held) && context_.guard.has_trial(*digest_);
   alone_ = false;
-  std::visit(overloaded{[&](const begins_beside_others&) { askAdmission(); },
-                        [&](const begins_alone& b) { isolate(b.level); },
-                        [&](const begins_elsewhere&) { refuse(inbound_refusal::trial_elsewhere); },
-                        [&](const begins_nowhere& b) { refuseBlocked(b.blocked_until); }},
-             beginning_of(held, has_trial));
+  std::visit(
+      overloaded{[&](const dispatch_shared&) { askAdmission(); },
+                 [&](const dispatch_isolated& b) { isolate(b.level); },
+                 [&](const dispatch_elsewhere&) { refuse(inbound_refusal::trial_elsewhere); },
+                 [&](const dispatch_blocked& b) { refuseBlocked(b.blocked_until); }},
+      dispatch_mode_of(held, has_trial));
 }
 
 void InboundRequest::isolate(suspicion level) {
@@ -99,7 +100,7 @@
   suspicion_ = level;
   if (!isolated_until_) {
     const auto patience = held_back_ ? std::optional<Duration>(admission_.patience) : std::nullopt;
-    isolated_until_ = now + isolation_time(level, deadline_ - now, patience);
+    isolated_until_ = now + isolation_timeout(level, deadline_ - now, patience);
   }
   state_ = State::kAwaitingIsolation;
   if (context_.guard.enter(shared_from_this(), admission_.id, *isolated_until_)) {
@@ -118,7 +119,7 @@
   if (state_ != State::kAwaitingIsolation) {
     return;
   }
-  const auto refusal = refusal_when_not_alone(suspicion_);
+  const auto refusal = refusal_after_isolation_timeout(suspicion_);
   if (refusal) {
     refuse(*refusal);
   } else {
@@ -169,7 +170,7 @@
     finishServerWork(ServerOutcome::kWithdrawn);
     return;
   }
-  if (!has_time_to_begin(deadline_ - begun_)) {
+  if (!has_time_to_dispatch(deadline_ - begun_)) {
     refuse(inbound_refusal::deadline_near);
     finishServerWork(ServerOutcome::kWithdrawn);
     return;
@@ -233,10 +234,10 @@
 
 void InboundRequest::onPatienceEnded() {
   if (state_ == State::kAwaitingRoom) {
-    if (context_.own.admission().waitsForRate()) {
+    if (context_.own.admission().isRateLimited()) {
       refuseForRate();
     } else {
-      refuse(inbound_refusal::patience_ended);
+      refuse(inbound_refusal::queue_timeout);
     }
   }
 }
@@ -307,7 +308,7 @@
     finishServerWork(ServerOutcome::kWithdrawn);
   }
   if (before == State::kRunning && upstream_ != nullptr) {
-    const ServerOutcome outcome = outcome_of_given_up(deadline_ - EventLoop::now());
+    const ServerOutcome outcome = outcome_of_abandoned(deadline_ - EventLoop::now());
     upstream_->cancel();
     tellGuardOfLeaving();
     finishServerWork(outcome);
--- a/daemon/proxy/own_server.cc
+++ b/daemon/proxy/own_server.cc
@@ -56,7 +56,7 @@
 void own_server::on_told_limit(const std::string& incarnation, request_rate told) {
   const auto before = this->named.rate();
   if (incarnation == this->judged_incarnation &&
-      this->named.on_told_by_peer(told, EventLoop::now())) {
+      this->named.on_peer_report(told, EventLoop::now())) {
     this->apply_rate(before);
   }
 }
@@ -125,7 +125,7 @@
     this->judged_incarnation = incarnation;
     this->breaker = circuit_breaker();
     this->times = service_times();
-    this->named = limit_in_force();
+    this->named = effective_limit();
     this->admitted.setRate(std::nullopt, EventLoop::now());
   }
   this->apply_limits();
@@ -165,11 +165,11 @@
 
 void own_server::on_ended(const ended_run& run) {
   const auto now = EventLoop::now();
-  this->times.on_ended(run.route, run.begun, isWork(run.outcome), now);
+  this->times.on_ended(run.route, run.begun, isCompletedRun(run.outcome), now);
   this->tell_breaker(run, now);
   this->admitted.onFinished(run.begun, run.outcome, now);
   if (!run.sent) {
-    this->admitted.onNeverSent(now);
+    this->admitted.onNotSent(now);
   }
 }
 
--- a/daemon/proxy/own_server.h
+++ b/daemon/proxy/own_server.h
@@ -16,7 +16,7 @@
 #include "core/admission/service_times.h"
 #include "core/lifecycle/local_server.h"
 #include "core/placement/instance_directory.h"
-#include "core/rate_limit/limit_in_force.h"
+#include "core/rate_limit/effective_limit.h"
 #include "core/traffic/traffic_configuration.h"
 #include "net/stream/event_loop.h"
 #include "net/stream/http_client.h"
@@ -80,7 +80,7 @@
   [[nodiscard]] auto load(const std::string& route) const -> ServerLoad;
 
   /// The limit that the server names at present.
-  [[nodiscard]] auto limit() const -> const limit_in_force& { return this->named; }
+  [[nodiscard]] auto limit() const -> const effective_limit& { return this->named; }
   /// Writes the line `server_limit_use` if the server names a limit at present. To be called with
   /// the counters.
   void log_limit_use() const;
@@ -101,7 +101,7 @@
   ServerAdmission admitted;
   service_times times;
   circuit_breaker breaker;
-  limit_in_force named;
+  effective_limit named;
   std::uint64_t dispatched = 0;    // requests, since the start of this proxy
   std::uint64_t beyond_rate = 0;   // refused for the limit, since then
   std::string judged_incarnation;  // that `times`, `breaker` and `named` are about
--- a/daemon/proxy/peer_headers.h
+++ b/daemon/proxy/peer_headers.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "core/admission/overload_below.h"
+#include "core/admission/downstream_overload.h"
 #include "core/placement/instance_directory.h"
 #include "net/stream/http_head.h"
 
--- a/daemon/proxy/proxy_context.h
+++ b/daemon/proxy/proxy_context.h
@@ -12,7 +12,7 @@
 #include <string>
 
 #include "common/event_log.h"
-#include "core/admission/overload_below.h"
+#include "core/admission/downstream_overload.h"
 #include "core/admission/shedding.h"
 #include "core/external/external_api.h"
 #include "core/placement/instance_directory.h"
@@ -67,9 +67,9 @@
   InstanceDirectory directory;
   proxy_counters counters;
   own_server own;
-  call_attribution calls;   ///< Of the own server.
-  overload_below overload;  ///< By the routes of requests that begin on this machine.
-  crash_guard guard;        ///< Of the own server.
+  call_attribution calls;        ///< Of the own server.
+  downstream_overload overload;  ///< By the routes of requests that begin on this machine.
+  crash_guard guard;             ///< Of the own server.
   peer_pools peers;
   retry_budgets budgets;
   std::set<ForwardedRequest*> under_way;  ///< Those with an attempt under way.
--- a/daemon/proxy/proxy_process.cc
+++ b/daemon/proxy/proxy_process.cc
@@ -246,7 +246,7 @@
   context_.peers.sweep();
   rereadSettings(false);
   seconds_ += 1;
-  context_.budgets.share_among(context_.directory.size(), seconds(seconds_));
+  context_.budgets.set_fleet_size(context_.directory.size(), seconds(seconds_));
   if (seconds_ % kCounterSeconds == 0) {
     logCounters();
   }
--- a/daemon/proxy/waiting_requests.cc
+++ b/daemon/proxy/waiting_requests.cc
@@ -49,13 +49,13 @@
     const auto request = this->take(*id);
     if (request == nullptr) {
       this->admission.onFinished(now, ServerOutcome::kWithdrawn, now);
-      this->admission.onNeverSent(now);
+      this->admission.onNotSent(now);
       continue;
     }
     request->onAdmitted();
   }
   auto next = this->admission.nextExpiry();
-  const auto place = this->admission.nextPlace(now);
+  const auto place = this->admission.nextRateToken(now);
   if (place) {
     next = std::min(*place, next.value_or(*place));
   }
--- a/tests/core/admission/overload_below_test.cc
+++ b/tests/core/admission/downstream_overload_test.cc
@@ -1,4 +1,4 @@
-#include "core/admission/overload_below.h"
+#include "core/admission/downstream_overload.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 namespace ramppond {
 namespace {
 
-class overload_below_test : public testing::Test {
+class downstream_overload_test : public testing::Test {
  protected:
   void answers(const std::string& route, const std::vector<service_overload>& reported, int count) {
     for (int i = 0; i < count; ++i) {
@@ -22,18 +22,18 @@
     return 0;
   }
 
-  overload_below below;
+  downstream_overload below;
   TimePoint now = seconds(100);
 };
 
-TEST_F(overload_below_test, follows_what_answers_tell) {
+TEST_F(downstream_overload_test, follows_what_answers_tell) {
   this->answers("fetch", {{"records", {0.8}}}, 50);
   EXPECT_NEAR(this->level("fetch", "records"), 0.8, 0.02);
   EXPECT_EQ(this->level("fetch", "desk"), 0);
   EXPECT_EQ(this->level("other", "records"), 0);
 }
 
-TEST_F(overload_below_test, one_pressed_server_among_many_weighs_little) {
+TEST_F(downstream_overload_test, one_pressed_server_among_many_weighs_little) {
   for (int round = 0; round < 20; ++round) {
     this->answers("fetch", {{"records", {0}}}, 24);
     this->answers("fetch", {{"records", {1}}}, 1);
@@ -41,7 +41,7 @@
   EXPECT_LT(this->level("fetch", "records"), 0.2);
 }
 
-TEST_F(overload_below_test, a_service_that_is_not_reported_any_more_is_forgotten) {
+TEST_F(downstream_overload_test, a_service_that_is_not_reported_any_more_is_forgotten) {
   this->answers("fetch", {{"records", {1}}}, 50);
   this->answers("fetch", {}, 50);
   EXPECT_EQ(this->level("fetch", "records"), 0);
--- a/tests/core/admission/inbound_refusal_test.cc
+++ b/tests/core/admission/inbound_refusal_test.cc
@@ -28,7 +28,7 @@
 class inbound_refusal_table : public testing::TestWithParam<refusal_case> {};
 
 TEST_P(inbound_refusal_table, has_its_terms) {
-  const auto terms = terms_of(GetParam().refusal);
+  const auto terms = traits_of(GetParam().refusal);
   EXPECT_EQ(terms.kind, GetParam().kind);
   EXPECT_EQ(terms.reason, GetParam().reason);
   EXPECT_EQ(terms.status, GetParam().status);
@@ -43,7 +43,7 @@
                                  "other instance", 503, counter::fenced},
                     refusal_case{"trial_elsewhere", inbound_refusal::trial_elsewhere,
                                  kind::elsewhere, "tried elsewhere", 503, counter::none},
-                    refusal_case{"not_alone", inbound_refusal::not_alone, kind::elsewhere,
+                    refusal_case{"not_alone", inbound_refusal::isolation_timed_out, kind::elsewhere,
                                  "not alone", 503, counter::none},
                     refusal_case{"blocked", inbound_refusal::blocked, kind::blocked, "ends servers",
                                  503, counter::blocked},
@@ -51,7 +51,7 @@
                                  "server fails", 503, counter::breaker},
                     refusal_case{"queue_full", inbound_refusal::queue_full, kind::busy, "queue",
                                  503, counter::refused},
-                    refusal_case{"patience_ended", inbound_refusal::patience_ended, kind::busy,
+                    refusal_case{"patience_ended", inbound_refusal::queue_timeout, kind::busy,
                                  "waited", 503, counter::refused},
                     refusal_case{"beyond_rate", inbound_refusal::beyond_rate, kind::busy, "limit",
                                  503, counter::refused},
--- a/tests/core/admission/isolation_rule_test.cc
+++ b/tests/core/admission/isolation_rule_test.cc
@@ -11,17 +11,16 @@
 namespace {
 
 auto text_of(const beginning& begins) -> std::string {
-  return std::visit(
-      overloaded{[](const begins_beside_others&) { return std::string("beside others"); },
-                 [](const begins_alone& b) {
-                   return std::string(b.level == suspicion::light ? "alone, light"
-                                                                  : "alone, heavy");
-                 },
-                 [](const begins_elsewhere&) { return std::string("elsewhere"); },
-                 [](const begins_nowhere& b) {
-                   return "nowhere until " + std::to_string(b.blocked_until.count());
-                 }},
-      begins);
+  return std::visit(overloaded{[](const dispatch_shared&) { return std::string("beside others"); },
+                               [](const dispatch_isolated& b) {
+                                 return std::string(b.level == suspicion::light ? "alone, light"
+                                                                                : "alone, heavy");
+                               },
+                               [](const dispatch_elsewhere&) { return std::string("elsewhere"); },
+                               [](const dispatch_blocked& b) {
+                                 return "nowhere until " + std::to_string(b.blocked_until.count());
+                               }},
+                    begins);
 }
 
 struct beginning_case {
@@ -39,7 +38,7 @@
 class beginning_table : public testing::TestWithParam<beginning_case> {};
 
 TEST_P(beginning_table, follows_from_what_is_known) {
-  EXPECT_EQ(text_of(beginning_of(GetParam().held, GetParam().has_trial)), GetParam().begins);
+  EXPECT_EQ(text_of(dispatch_mode_of(GetParam().held, GetParam().has_trial)), GetParam().begins);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -71,7 +70,7 @@
 
 TEST_P(isolation_time_table, is_a_share_of_the_time_left) {
   const auto& tested = GetParam();
-  EXPECT_EQ(isolation_time(tested.level, tested.left, tested.patience), tested.wait);
+  EXPECT_EQ(isolation_timeout(tested.level, tested.left, tested.patience), tested.wait);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -89,8 +88,9 @@
     [](const auto& info) { return std::string(info.param.name); });
 
 TEST(isolation_in_vain, lets_lightly_suspected_requests_go_on_and_refuses_others) {
-  EXPECT_EQ(refusal_when_not_alone(suspicion::light), std::nullopt);
-  EXPECT_EQ(refusal_when_not_alone(suspicion::heavy), inbound_refusal::not_alone);
+  EXPECT_EQ(refusal_after_isolation_timeout(suspicion::light), std::nullopt);
+  EXPECT_EQ(refusal_after_isolation_timeout(suspicion::heavy),
+            inbound_refusal::isolation_timed_out);
 }
 
 }  // namespace
--- a/tests/core/admission/request_time_test.cc
+++ b/tests/core/admission/request_time_test.cc
@@ -23,8 +23,8 @@
 class request_time_table : public testing::TestWithParam<time_case> {};
 
 TEST_P(request_time_table, decides_by_the_time_left) {
-  EXPECT_EQ(has_time_to_begin(GetParam().left), GetParam().begins);
-  EXPECT_EQ(outcome_of_given_up(GetParam().left), GetParam().given_up);
+  EXPECT_EQ(has_time_to_dispatch(GetParam().left), GetParam().begins);
+  EXPECT_EQ(outcome_of_abandoned(GetParam().left), GetParam().given_up);
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/core/admission/run_outcome_test.cc
+++ b/tests/core/admission/run_outcome_test.cc
@@ -73,7 +73,7 @@
   const char* name;
   run_failure failure;
   answer_progress progress;
-  bool others_stand;
+  bool has_other_connections;
   std::optional<inbound_refusal> refusal;
 };
 
@@ -85,7 +85,8 @@
 
 TEST_P(refusal_after_failure_table, tells_what_is_known) {
   const auto& tested = GetParam();
-  EXPECT_EQ(refusal_after(tested.failure, tested.progress, tested.others_stand), tested.refusal);
+  EXPECT_EQ(refusal_after(tested.failure, tested.progress, tested.has_other_connections),
+            tested.refusal);
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/core/admission/server_admission_test.cc
+++ b/tests/core/admission/server_admission_test.cc
@@ -222,13 +222,13 @@
 TEST_F(LimitedAdmission, WaitsForItsPlaceInTheRateAndTheMoreUrgentGoesFirst) {
   EXPECT_EQ(admission_.offer({1, 2, kLongPatience}, TimePoint(0)), AdmissionVerdict::kWait);
   EXPECT_EQ(admission_.offer({2, 0, kLongPatience}, TimePoint(0)), AdmissionVerdict::kWait);
-  EXPECT_TRUE(admission_.waitsForRate());
-  EXPECT_EQ(admission_.nextPlace(TimePoint(0)), milliseconds(100));
+  EXPECT_TRUE(admission_.isRateLimited());
+  EXPECT_EQ(admission_.nextRateToken(TimePoint(0)), milliseconds(100));
   EXPECT_EQ(admission_.takeDispatchable(milliseconds(99)), std::nullopt);
   EXPECT_EQ(admission_.takeDispatchable(milliseconds(100)), AdmissionId{2});
   EXPECT_EQ(admission_.takeDispatchable(milliseconds(100)), std::nullopt);
   EXPECT_EQ(admission_.takeDispatchable(milliseconds(200)), AdmissionId{1});
-  EXPECT_EQ(admission_.nextPlace(milliseconds(200)), std::nullopt);
+  EXPECT_EQ(admission_.nextRateToken(milliseconds(200)), std::nullopt);
 }
 
 TEST_F(LimitedAdmission, RefusesAtOnceWhatWouldWaitLongerThanItMay) {
@@ -243,7 +243,7 @@
   const TimePoint now = milliseconds(100);
   EXPECT_EQ(admission_.offer({1, 0, kPatience}, now), AdmissionVerdict::kDispatch);
   admission_.onFinished(now, ServerOutcome::kWithdrawn, now);
-  admission_.onNeverSent(now);
+  admission_.onNotSent(now);
   EXPECT_EQ(admission_.offer({2, 0, kPatience}, now), AdmissionVerdict::kDispatch);
 }
 
--- a/tests/core/admission/server_limit_fleet_test.cc
+++ b/tests/core/admission/server_limit_fleet_test.cc
@@ -18,7 +18,7 @@
 #include "core/admission/server_admission.h"
 #include "core/placement/instance_directory.h"
 #include "core/random.h"
-#include "core/rate_limit/limit_in_force.h"
+#include "core/rate_limit/effective_limit.h"
 
 namespace ramppond {
 namespace {
@@ -59,7 +59,7 @@
   std::vector<limit_change> names;
   std::vector<TimePoint> arrivals;
   ServerAdmission admission;
-  limit_in_force limit;
+  effective_limit limit;
   std::optional<TimePoint> next_pump;
   int starts = 0;  // of the proxy beside it
 
@@ -175,7 +175,7 @@
   void offer(std::size_t number, const std::shared_ptr<sent_request>& request, KnownInstance& known,
              const std::optional<rate_load>& told) {
     auto& server = this->servers[number];
-    if (told && server.limit.on_told_by_peer(told->limit, this->now)) {
+    if (told && server.limit.on_peer_report(told->limit, this->now)) {
       server.admission.setRate(server.limit.rate(), this->now);
     }
     const auto id = this->next_number++;
@@ -205,7 +205,7 @@
       this->dispatch(number, *id);
     }
     auto next = admission.nextExpiry();
-    const auto place = admission.nextPlace(this->now);
+    const auto place = admission.nextRateToken(this->now);
     if (place) {
       next = std::min(*place, next.value_or(*place));
     }
@@ -277,7 +277,7 @@
     server.starts += 1;
     server.admission = ServerAdmission();
     server.admission.setSlots(slots);
-    server.limit = limit_in_force();
+    server.limit = effective_limit();
   }
 
   struct waiting_request {
--- a/tests/core/admission/shedding_test.cc
+++ b/tests/core/admission/shedding_test.cc
@@ -67,22 +67,22 @@
                                          rank_case{"beyond_all", 9, 0}),
                          [](const auto& info) { return std::string(info.param.name); });
 
-TEST(overload_of_calls, is_the_highest_level_over_the_routes_that_are_called) {
+TEST(downstream_overload_of, is_the_highest_level_over_the_routes_that_are_called) {
   auto calls = call_attribution();
   server_calls(calls, "front", "first");
   server_calls(calls, "front", "second");
-  auto overload = overload_below();
+  auto overload = downstream_overload();
   for (auto i = 0; i < 50; ++i) {
     overload.on_answer("first", {{"desk", shed_level{0.5}}}, now);
     overload.on_answer("second", {{"press", shed_level{1}}}, now);
     overload.on_answer("elsewhere", {{"store", shed_level{2}}}, now);
   }
-  const auto levels = overload_of_calls("front", calls, overload, now);
+  const auto levels = downstream_overload_of("front", calls, overload, now);
   ASSERT_EQ(levels.size(), 2U);
   EXPECT_EQ(levels[0].service, "desk");
   EXPECT_EQ(levels[1].service, "press");
   EXPECT_LT(levels[0].level.value, levels[1].level.value);
-  EXPECT_TRUE(overload_of_calls("lone", calls, overload, now).empty());
+  EXPECT_TRUE(downstream_overload_of("lone", calls, overload, now).empty());
 }
 
 }  // namespace
--- a/tests/core/admission/tree_shedding_test.cc
+++ b/tests/core/admission/tree_shedding_test.cc
@@ -7,7 +7,7 @@
 #include <ostream>
 #include <queue>
 
-#include "core/admission/overload_below.h"
+#include "core/admission/downstream_overload.h"
 #include "core/admission/patience.h"
 #include "core/admission/server_admission.h"
 #include "core/random.h"
@@ -104,7 +104,7 @@
   void call(std::size_t kind, int left) {
     const auto id = this->next_call++;
     const auto verdict = this->admission.offer(
-        {id, rank_of_calls, patience_of(goal, true), pressing_wait(patience_of(goal, true), true)},
+        {id, rank_of_calls, patience_of(goal, true), reference_wait(patience_of(goal, true), true)},
         this->now);
     if (verdict == AdmissionVerdict::kRefuse) {
       this->on_answer(kind);
@@ -152,7 +152,7 @@
   Duration report_delay;
   std::vector<tree_counts> counts;
   ServerAdmission admission;
-  overload_below below;
+  downstream_overload below;
   Random random{7};
   TimePoint now{0};
   std::priority_queue<event> events;
--- a/tests/core/answers/own_answer_test.cc
+++ b/tests/core/answers/own_answer_test.cc
@@ -62,11 +62,11 @@
   const auto& tested = GetParam();
   const auto verdict = retry_after_of(tested.answer, goal);
   EXPECT_EQ(!std::holds_alternative<no_retry_after>(verdict), tested.time.sent);
-  if (const auto* drawn = std::get_if<spread_from>(&verdict)) {
+  if (const auto* drawn = std::get_if<jittered_retry_after>(&verdict)) {
     EXPECT_TRUE(tested.time.drawn);
     EXPECT_EQ(drawn->least, tested.time.time);
   }
-  if (const auto* told = std::get_if<stated_retry_after>(&verdict)) {
+  if (const auto* told = std::get_if<exact_retry_after>(&verdict)) {
     EXPECT_FALSE(tested.time.drawn);
     EXPECT_EQ(told->time, tested.time.time);
   }
@@ -112,8 +112,8 @@
                     "no tenant holds this key",
                     no_time},
         answer_case{"keys_unjudged",
-                    {kind::keys_unjudged},
-                    kind::keys_unjudged,
+                    {kind::keys_unverifiable},
+                    kind::keys_unverifiable,
                     503,
                     run_promise::not_run,
                     source::goal,
@@ -123,9 +123,9 @@
         answer_case{"beyond_tenant_limit", answer_beyond_tenant_limit(stated),
                     kind::beyond_tenant_limit, 429, run_promise::rejected, source::quota,
                     counter::beyond_limit, "beyond the tenant's limit", as_stated},
-        answer_case{"overload_below", answer_overload_below("records"), kind::overload_below, 503,
-                    run_promise::not_run, source::goal, counter::shed, "overload of records",
-                    drawn_by_goal},
+        answer_case{"overload_below", answer_downstream_overload("records"),
+                    kind::downstream_overload, 503, run_promise::not_run, source::goal,
+                    counter::shed, "overload of records", drawn_by_goal},
         answer_case{"deadline_not_run", answer_at_deadline(false), kind::deadline_not_run, 503,
                     run_promise::not_run, source::goal, counter::none, "deadline", drawn_by_goal},
         answer_case{"deadline_may_have_run", answer_at_deadline(true), kind::deadline_may_have_run,
--- a/tests/core/answers/retry_after_test.cc
+++ b/tests/core/answers/retry_after_test.cc
@@ -22,7 +22,7 @@
 class least_retry_after_table : public testing::TestWithParam<least_case> {};
 
 TEST_P(least_retry_after_table, is_a_third_of_the_goal) {
-  EXPECT_EQ(least_retry_after_for(GetParam().goal), GetParam().least);
+  EXPECT_EQ(min_retry_after_for(GetParam().goal), GetParam().least);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -50,7 +50,7 @@
 
 TEST_P(spread_retry_after_table, lies_between_the_least_and_twice_that) {
   const auto& tested = GetParam();
-  EXPECT_EQ(spread_retry_after(tested.least, {tested.draw}), tested.time);
+  EXPECT_EQ(add_retry_after_jitter(tested.least, {tested.draw}), tested.time);
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/core/rate_limit/limit_in_force_test.cc
+++ b/tests/core/rate_limit/effective_limit_test.cc
@@ -1,4 +1,4 @@
-#include "core/rate_limit/limit_in_force.h"
+#include "core/rate_limit/effective_limit.h"
 
 #include <gtest/gtest.h>
 
@@ -29,7 +29,7 @@
 class limit_after_answers : public testing::TestWithParam<answers_case> {};
 
 TEST_P(limit_after_answers, is_the_newest_that_the_server_named) {
-  auto limit = limit_in_force();
+  auto limit = effective_limit();
   for (const auto& answer : GetParam().answers) {
     limit.on_answer(answer.named, milliseconds(answer.dispatched_ms), milliseconds(answer.came_ms));
   }
@@ -70,17 +70,17 @@
             "what_cannot_be_read_changes_nothing", {{0, 10, twelve}, {2000, 2010, nonsense}}, 12},
         answers_case{"what_cannot_be_read_names_nothing", {{0, 10, nonsense}}, std::nullopt}));
 
-TEST(limit_in_force, is_taken_from_a_peer_until_the_server_has_answered) {
-  auto limit = limit_in_force();
-  EXPECT_TRUE(limit.on_told_by_peer({12}, seconds(1)));
+TEST(effective_limit, is_taken_from_a_peer_until_the_server_has_answered) {
+  auto limit = effective_limit();
+  EXPECT_TRUE(limit.on_peer_report({12}, seconds(1)));
   EXPECT_EQ(limit.rate()->per_second, 12);
   limit.on_answer(request_rate{20}, seconds(1), seconds(2));
-  EXPECT_FALSE(limit.on_told_by_peer({5}, seconds(3)));
+  EXPECT_FALSE(limit.on_peer_report({5}, seconds(3)));
   EXPECT_EQ(limit.rate()->per_second, 20);
 }
 
-TEST(limit_in_force, says_how_long_ago_it_was_named) {
-  auto limit = limit_in_force();
+TEST(effective_limit, says_how_long_ago_it_was_named) {
+  auto limit = effective_limit();
   EXPECT_EQ(limit.age(seconds(9)), Duration(0));
   limit.on_answer(twelve, seconds(1), seconds(2));
   limit.on_answer(twelve, seconds(2), seconds(4));
--- a/tests/core/rate_limit/rate_bucket_test.cc
+++ b/tests/core/rate_limit/rate_bucket_test.cc
@@ -49,7 +49,7 @@
   bucket.set(request_rate{1}, seconds(0));
   ASSERT_TRUE(bucket.take(seconds(1)));
   EXPECT_FALSE(bucket.take(seconds(1)));
-  bucket.give_back(seconds(1));
+  bucket.return_token(seconds(1));
   EXPECT_TRUE(bucket.take(seconds(1)));
 }
 
--- a/tests/core/retries/call_attribution_test.cc
+++ b/tests/core/retries/call_attribution_test.cc
@@ -57,12 +57,12 @@
   const auto deadline = this->now + seconds(2);
   this->attribution.on_begun(1, "version", deadline);
   for (int i = 0; i < 4; ++i) {
-    EXPECT_FALSE(this->attribution.on_request("rule", deadline).calls_to_come);
+    EXPECT_FALSE(this->attribution.on_request("rule", deadline).remaining_calls);
   }
   this->attribution.on_ended(1, true);
   this->attribution.on_begun(2, "version", deadline);
   for (auto to_come = std::uint32_t(4); to_come-- > 0;) {
-    EXPECT_EQ(this->attribution.on_request("rule", deadline).calls_to_come, to_come);
+    EXPECT_EQ(this->attribution.on_request("rule", deadline).remaining_calls, to_come);
   }
 }
 
@@ -74,7 +74,7 @@
   this->attribution.on_begun(2, "version", deadline);
   this->attribution.on_begun(3, "version", deadline + milliseconds(2), true);
   const auto call = this->attribution.on_request("rule", deadline);
-  EXPECT_FALSE(call.calls_to_come);
+  EXPECT_FALSE(call.remaining_calls);
   EXPECT_TRUE(call.of_retry);
 }
 
@@ -84,7 +84,7 @@
   this->attribution.on_request("rule", deadline);
   this->attribution.on_ended(1, false);
   this->attribution.on_begun(2, "version", deadline);
-  EXPECT_FALSE(this->attribution.on_request("rule", deadline).calls_to_come);
+  EXPECT_FALSE(this->attribution.on_request("rule", deadline).remaining_calls);
 }
 
 TEST_F(call_attribution_test, a_call_that_several_routes_may_have_made_names_none) {
--- a/tests/core/retries/retry_budget_test.cc
+++ b/tests/core/retries/retry_budget_test.cc
@@ -203,7 +203,7 @@
   auto random = Random(7);
   auto fleet = std::vector<retry_budget>(tested.daemons, retry_budget(earned_share));
   for (auto& budget : fleet)
-    budget.set_allowance(part_of({tested.shared, seconds(10)}, fleet.size()));
+    budget.set_allowance(allowance_per_proxy({tested.shared, seconds(10)}, fleet.size()));
   auto retries = std::vector<double>();
   for (auto second = 0; second < 40; ++second) {
     auto retried = 0;
@@ -230,8 +230,8 @@
                          [](const auto& info) { return std::string(info.param.name); });
 
 TEST(retry_budget, shares_nothing_where_no_daemon_is_known) {
-  EXPECT_EQ(part_of({0, seconds(10)}, 5).count, 0);
-  EXPECT_EQ(part_of({55, seconds(10)}, 0).count, 0);
+  EXPECT_EQ(allowance_per_proxy({0, seconds(10)}, 5).count, 0);
+  EXPECT_EQ(allowance_per_proxy({55, seconds(10)}, 0).count, 0);
 }
 
 }  // namespace
--- a/tests/core/retries/retry_budgets_test.cc
+++ b/tests/core/retries/retry_budgets_test.cc
@@ -34,14 +34,14 @@
   auto budgets = retry_budgets(0, {80, seconds(10)});
   budgets.of("before");
   EXPECT_FALSE(budgets.of("before").take(seconds(100)));
-  budgets.share_among(2, fleet_known_after);  // a quarter of 80, by two
+  budgets.set_fleet_size(2, fleet_discovery_time);  // a quarter of 80, by two
   EXPECT_EQ(paid(budgets.of("before"), 100), 10);
   EXPECT_EQ(paid(budgets.of("later"), 100), 10);
 }
 
 TEST(retry_budgets, have_no_part_of_the_allowance_before_the_fleet_is_known) {
   auto budgets = retry_budgets(0, {80, seconds(10)});
-  budgets.share_among(2, fleet_known_after - seconds(1));
+  budgets.set_fleet_size(2, fleet_discovery_time - seconds(1));
   EXPECT_EQ(paid(budgets.of("a"), 100), 0);
 }
 
--- a/tests/core/retries/retry_reserve_test.cc
+++ b/tests/core/retries/retry_reserve_test.cc
@@ -11,7 +11,7 @@
 struct reserve_case {
   const char* name;
   bool is_call;
-  std::optional<std::uint32_t> calls_to_come;
+  std::optional<std::uint32_t> remaining_calls;
   double share;
 };
 
@@ -24,7 +24,7 @@
 
 TEST_P(retry_reserve_table, grows_with_the_calls_to_come) {
   const auto& tested = GetParam();
-  EXPECT_DOUBLE_EQ(reserve_of(tested.is_call, tested.calls_to_come).share, tested.share);
+  EXPECT_DOUBLE_EQ(reserve_of(tested.is_call, tested.remaining_calls).share, tested.share);
 }
 
 INSTANTIATE_TEST_SUITE_P(table, retry_reserve_table,
--- a/tests/core/retries/retry_rule_test.cc
+++ b/tests/core/retries/retry_rule_test.cc
@@ -27,7 +27,7 @@
   expected_verdict verdict;
   attempt_end end = attempt_end::not_run;
   bool may_run_twice = true;
-  bool body_held = true;
+  bool body_buffered = true;
   std::size_t attempts = 1;
   std::uint32_t arrivals = 1;
   std::uint32_t max_arrivals = 3;
@@ -45,14 +45,14 @@
 TEST_P(retry_rule_table, judges) {
   const auto& tested = GetParam();
   const auto verdict =
-      judge_retry({tested.end, tested.may_run_twice, tested.body_held, tested.attempts,
-                   tested.arrivals, tested.max_arrivals, tested.lost_runs, tested.time_left});
+      decide_retry({tested.end, tested.may_run_twice, tested.body_buffered, tested.attempts,
+                    tested.arrivals, tested.max_arrivals, tested.lost_runs, tested.time_left});
   const auto* refusal = std::get_if<retry_denied>(&verdict);
   ASSERT_EQ(refusal != nullptr, tested.verdict.denial.has_value());
   if (refusal != nullptr) {
     EXPECT_EQ(refusal->reason, *tested.verdict.denial);
   } else {
-    EXPECT_EQ(std::holds_alternative<retry_to_be_paid>(verdict), tested.verdict.paid);
+    EXPECT_EQ(std::holds_alternative<retry_from_budget>(verdict), tested.verdict.paid);
   }
 }
 
@@ -74,7 +74,7 @@
         rule_case{"not_sent_is_free_after_the_last_arrival", free_retry, not_sent, true, true, 4, 3,
                   3},
         rule_case{"blocked", denied(retry_denial::blocked), blocked},
-        rule_case{"body_not_held", denied(retry_denial::body_not_held), not_sent, true, false},
+        rule_case{"body_not_held", denied(retry_denial::body_not_buffered), not_sent, true, false},
         rule_case{"fifth_attempt_ended", paid_retry, not_run, true, true, 5},
         rule_case{"sixth_attempt_ended", denied(retry_denial::too_many_attempts), not_sent, true,
                   true, 6},
@@ -95,7 +95,7 @@
         rule_case{"deadline_passed", denied(retry_denial::no_time_left), not_sent, true, true, 1, 1,
                   3, 0, milliseconds(-1)},
         // Where two denials apply, the earlier one of the list is given.
-        rule_case{"body_before_attempts", denied(retry_denial::body_not_held), not_sent, true,
+        rule_case{"body_before_attempts", denied(retry_denial::body_not_buffered), not_sent, true,
                   false, 6},
         rule_case{"attempts_before_time", denied(retry_denial::too_many_attempts), not_sent, true,
                   true, 6, 1, 3, 0, milliseconds(0)},
