--- a/core/admission/isolation_rule.cc
+++ b/core/admission/isolation_rule.cc
@@ -22,7 +22,7 @@
                    return beginning(
                        dispatch_isolated{s.crashes == 1 ? suspicion::light : suspicion::heavy});
                  },
-                 [&](const on_trial&) {
+                 [&](const quarantined&) {
                    return has_trial ? beginning(dispatch_isolated{suspicion::heavy})
                                     : beginning(dispatch_elsewhere{});
                  },
--- a/core/control/control_core.h
+++ b/core/control/control_core.h
@@ -158,7 +158,7 @@
   void answerHeldProxyPolls(TimePoint now);
   void addTraffic(const ProxyPoll& poll, ProxyNews& news);
   void addMembers(const ProxyPoll& poll, ProxyNews& news) const;
-  [[nodiscard]] ControlMemberPlace placeOf(const std::string& address) const;
+  [[nodiscard]] ControlMemberLocation placeOf(const std::string& address) const;
   void recordMemberZone(const std::string& address, const ProxyNews& news);
   void proposeEvidence(TimePoint now);
   void loadReplicatedEvidence(TimePoint now);
--- a/core/control/control_proxy_polls.cc
+++ b/core/control/control_proxy_polls.cc
@@ -166,13 +166,13 @@
   }
 }
 
-ControlMemberPlace ControlCore::placeOf(const std::string& address) const {
+ControlMemberLocation ControlCore::placeOf(const std::string& address) const {
   const auto zone = member_zones_.find(address);
   return {address, zone == member_zones_.end() ? std::string() : zone->second};
 }
 
 void ControlCore::addMembers(const ProxyPoll& poll, ProxyNews& news) const {
-  std::vector<ControlMemberPlace> members;
+  std::vector<ControlMemberLocation> members;
   if (poll.has_self) {
     for (const Member& member : raft_.membership().members) {
       members.push_back(placeOf(member.address));
@@ -183,7 +183,7 @@
   if (poll.has_self && poll.members_digest == digestOf(members)) {
     return;
   }
-  for (ControlMemberPlace& member : members) {
+  for (ControlMemberLocation& member : members) {
     news.member_addresses.push_back(std::move(member.address));
     news.member_zones.push_back(std::move(member.zone));
   }
@@ -191,7 +191,7 @@
 
 // Takes from a member's answer only that member's own zone, on which it is the authority.
 void ControlCore::recordMemberZone(const std::string& address, const ProxyNews& news) {
-  for (const ControlMemberPlace& place : placesOf(news)) {
+  for (const ControlMemberLocation& place : locationsOf(news)) {
     if (place.address == address && !place.zone.empty()) {
       member_zones_[address] = place.zone;
     }
--- a/core/crash_evidence/crash_attribution.cc
+++ b/core/crash_evidence/crash_attribution.cc
@@ -250,11 +250,11 @@
   const auto& s = found->second;
   if (s.blocked_until) {
     return s.is_blocked(now) ? suspicion_state(blocked{*s.blocked_until})
-                             : suspicion_state(on_trial{});
+                             : suspicion_state(quarantined{});
   }
   const auto counted = this->counted_crashes(digest, s, now);
   if (counted >= crashes_for_trial) {
-    return on_trial{};
+    return quarantined{};
   }
   const auto is_reported =
       s.crashes.empty() && s.reported_crash && now - *s.reported_crash < reported_crash_lifetime;
--- a/core/crash_evidence/crash_attribution.h
+++ b/core/crash_evidence/crash_attribution.h
@@ -11,7 +11,7 @@
 //            explains, or whose last server was reported lost: it runs isolated,
 //            one suspected request at a time at a server (suspicion_of).
 //   trial    one that was under way at three such crashes: isolated, and at one
-//            server of the service only (suspicion_of; trial_place says where).
+//            server of the service only (suspicion_of; quarantine_placement says where).
 //   block    one that has two such crashes, one of them while it ran isolated and
 //            with no other request under way that has two: no server runs it
 //            (decide_block, is_proven).
@@ -47,13 +47,13 @@
   std::uint32_t crashes;  // crashes held against it, at least 1
 };
 /// As suspected, and at one server of the service only.
-struct on_trial {};
+struct quarantined {};
 /// No server runs it.
 struct blocked {
   TimePoint until;
 };
 /// How a request may run by what is known of crashes.
-using suspicion_state = std::variant<unsuspected, suspected, on_trial, blocked>;
+using suspicion_state = std::variant<unsuspected, suspected, quarantined, blocked>;
 
 /// A request that was found to crash servers, with the evidence.
 struct block_decision {
--- a/core/crash_evidence/trial_place.cc
+++ b/core/crash_evidence/quarantine_placement.cc
@@ -1,4 +1,4 @@
-#include "core/crash_evidence/trial_place.h"
+#include "core/crash_evidence/quarantine_placement.h"
 
 #include <xxhash.h>
 
@@ -13,8 +13,8 @@
 
 }  // namespace
 
-auto is_trial_place(const request_digest& digest, const std::string& own,
-                    const std::vector<std::string>& proxies) -> bool {
+auto is_quarantine_proxy(const request_digest& digest, const std::string& own,
+                         const std::vector<std::string>& proxies) -> bool {
   const auto own_weight = weight_of(digest, own);
   return std::none_of(proxies.begin(), proxies.end(), [&](const std::string& proxy) {
     return proxy != own && weight_of(digest, proxy) > own_weight;
--- a/core/crash_evidence/trial_place.h
+++ b/core/crash_evidence/quarantine_placement.h
@@ -15,7 +15,7 @@
 
 /// Whether the server beside `own` has the trial; `proxies` are those beside all
 /// servers of the service, with or without `own`.
-[[nodiscard]] auto is_trial_place(const request_digest& digest, const std::string& own,
-                                  const std::vector<std::string>& proxies) -> bool;
+[[nodiscard]] auto is_quarantine_proxy(const request_digest& digest, const std::string& own,
+                                       const std::vector<std::string>& proxies) -> bool;
 
 }  // namespace ramppond
--- a/core/distribution/proxy_messages.cc
+++ b/core/distribution/proxy_messages.cc
@@ -6,8 +6,8 @@
 
 namespace ramppond {
 
-std::vector<ControlMemberPlace> placesOf(const ProxyNews& news) {
-  std::vector<ControlMemberPlace> places;
+std::vector<ControlMemberLocation> locationsOf(const ProxyNews& news) {
+  std::vector<ControlMemberLocation> places;
   for (std::size_t index = 0; index < news.member_addresses.size(); ++index) {
     const bool has_zone = index < news.member_zones.size();
     places.push_back(
@@ -16,11 +16,11 @@
   return places;
 }
 
-std::uint64_t digestOf(std::vector<ControlMemberPlace> members) {
+std::uint64_t digestOf(std::vector<ControlMemberLocation> members) {
   std::sort(members.begin(), members.end(),
             [](const auto& left, const auto& right) { return left.address < right.address; });
   std::string text;
-  for (const ControlMemberPlace& member : members) {
+  for (const ControlMemberLocation& member : members) {
     text += member.address + ' ' + member.zone + '\n';
   }
   return std::max<std::uint64_t>(XXH3_64bits(text.data(), text.size()), 1);
--- a/core/distribution/proxy_messages.h
+++ b/core/distribution/proxy_messages.h
@@ -83,18 +83,18 @@
 };
 
 /// The address and zone of a coordinator.
-struct ControlMemberPlace {
+struct ControlMemberLocation {
   std::string address;  ///< HOST:PORT.
   std::string zone;     ///< Empty for unknown.
 
-  bool operator==(const ControlMemberPlace& other) const {
+  bool operator==(const ControlMemberLocation& other) const {
     return address == other.address && zone == other.zone;
   }
 };
 
 /// The coordinators that `news` names.
-std::vector<ControlMemberPlace> placesOf(const ProxyNews& news);
+std::vector<ControlMemberLocation> locationsOf(const ProxyNews& news);
 /// A digest of `members`, independent of their order; never 0.
-std::uint64_t digestOf(std::vector<ControlMemberPlace> members);
+std::uint64_t digestOf(std::vector<ControlMemberLocation> members);
 
 }  // namespace ramppond
--- a/core/session/member_ranking.cc
+++ b/core/session/member_ranking.cc
@@ -41,7 +41,7 @@
   this->rank(asked);
 }
 
-void member_ranking::on_members(std::vector<ControlMemberPlace> members, TimePoint now) {
+void member_ranking::on_members(std::vector<ControlMemberLocation> members, TimePoint now) {
   std::sort(members.begin(), members.end(),
             [](const auto& left, const auto& right) { return left.address < right.address; });
   if (members.empty() || members == this->members) {
--- a/core/session/member_ranking.h
+++ b/core/session/member_ranking.h
@@ -37,7 +37,7 @@
   void set_seeds(const std::vector<std::string>& seeds);
   /// All coordinators, as one reported that hears the leader. At the first report the proxy goes to
   /// its first choice at once, later within several seconds.
-  void on_members(std::vector<ControlMemberPlace> members, TimePoint now);
+  void on_members(std::vector<ControlMemberLocation> members, TimePoint now);
   /// The current coordinator gave an answer that can be relied upon.
   void on_answered();
   /// The current coordinator gave no answer, or one that cannot be relied upon.
@@ -57,9 +57,9 @@
   ranked_proxy proxy;
   Random random;
   std::vector<std::string> seeds;
-  std::vector<ControlMemberPlace> members;  // sorted by address; empty until reported
-  std::vector<std::string> former;          // members and seeds of earlier orders, the latest last
-  std::vector<std::string> order;           // addresses: members, then seeds, then former ones
+  std::vector<ControlMemberLocation> members;  // sorted by address; empty until reported
+  std::vector<std::string> former;  // members and seeds of earlier orders, the latest last
+  std::vector<std::string> order;   // addresses: members, then seeds, then former ones
   std::size_t position = 0;
   std::optional<TimePoint> return_at;
   std::uint32_t failed_returns = 0;  // in a row
--- a/core/session/proxy_session.cc
+++ b/core/session/proxy_session.cc
@@ -173,7 +173,7 @@
   if (news.member_addresses.empty()) {
     return;
   }
-  const std::vector<ControlMemberPlace> members = placesOf(news);
+  const std::vector<ControlMemberLocation> members = locationsOf(news);
   members_.on_members(members, now);
   members_digest_ = digestOf(members);
 }
--- a/core/tenants/authority_lease.cc
+++ b/core/tenants/authority_lease.cc
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-void authority_lease::on_proven(TimePoint asked) {
+void authority_lease::on_confirmed(TimePoint asked) {
   this->start = std::max(asked, this->start.value_or(asked));
 }
 
--- a/core/tenants/authority_lease.h
+++ b/core/tenants/authority_lease.h
@@ -30,7 +30,7 @@
 
   /// A coordinator proved the configuration held, in answer to a question sent at
   /// `asked`.
-  void on_proven(TimePoint asked);
+  void on_confirmed(TimePoint asked);
 
   [[nodiscard]] auto at(TimePoint now) const -> authority;
 
--- a/core/tenants/identity.cc
+++ b/core/tenants/identity.cc
@@ -19,11 +19,11 @@
     return identified{tenant};
   }
   if (held == authority::lapsed) {
-    return key_unjudged{};
+    return key_unverifiable{};
   }
   // The key may have been added after the last proven answer.
   const auto may_be_new = credential.form == CredentialForm::kKey && held == authority::stale;
-  return may_be_new ? identity(key_unjudged{}) : identity(key_refused{});
+  return may_be_new ? identity(key_unverifiable{}) : identity(key_refused{});
 }
 
 }  // namespace ramppond
--- a/core/tenants/identity.h
+++ b/core/tenants/identity.h
@@ -22,9 +22,9 @@
 struct key_refused {};
 
 /// Whether a tenant holds the key is not known at present: the request may be retried later.
-struct key_unjudged {};
+struct key_unverifiable {};
 
-using identity = std::variant<identified, key_refused, key_unjudged>;
+using identity = std::variant<identified, key_refused, key_unverifiable>;
 
 /// The identity of a request to `route`, at a proxy that knows `keys` under a
 /// lease in state `held`.
--- a/core/tenants/quota_gate.cc
+++ b/core/tenants/quota_limiter.cc
@@ -1,4 +1,4 @@
-#include "core/tenants/quota_gate.h"
+#include "core/tenants/quota_limiter.h"
 
 #include <xxhash.h>
 
@@ -46,14 +46,14 @@
 
 }  // namespace
 
-void quota_gate::recent_runs::forget(TimePoint now, Duration window) {
+void quota_limiter::recent_runs::forget(TimePoint now, Duration window) {
   const auto current = slot_number(now, window);
   while (!this->slots.empty() && this->slots.front().number < current - slots_per_window) {
     this->slots.pop_front();
   }
 }
 
-void quota_gate::recent_runs::add(double requests, TimePoint now, Duration window) {
+void quota_limiter::recent_runs::add(double requests, TimePoint now, Duration window) {
   this->forget(now, window);
   const auto current = slot_number(now, window);
   if (this->slots.empty() || this->slots.back().number != current) {
@@ -62,7 +62,7 @@
   this->slots.back().requests += requests;
 }
 
-auto quota_gate::recent_runs::count(TimePoint now, Duration window) -> double {
+auto quota_limiter::recent_runs::count(TimePoint now, Duration window) -> double {
   this->forget(now, window);
   auto sum = 0.0;
   for (const auto& s : this->slots) {
@@ -71,7 +71,7 @@
   return sum;
 }
 
-auto quota_gate::recent_runs::oldest_ends(TimePoint now, Duration window) const -> Duration {
+auto quota_limiter::recent_runs::oldest_ends(TimePoint now, Duration window) const -> Duration {
   if (this->slots.empty()) {
     return window;
   }
@@ -79,7 +79,7 @@
   return slot * (this->slots.front().number + slots_per_window + 1) - now;
 }
 
-void quota_gate::set_limits(const std::vector<TenantDefinition>& limits) {
+void quota_limiter::set_limits(const std::vector<TenantDefinition>& limits) {
   // Totals never decrease while the process runs: a tenant that is removed and
   // added again goes on with its own.
   for (auto& [name, account] : this->tenants) {
@@ -94,16 +94,16 @@
   }
 }
 
-auto quota_gate::has_recent_answer(TimePoint now) const -> bool {
+auto quota_limiter::has_recent_answer(TimePoint now) const -> bool {
   return this->answer_asked && now - *this->answer_asked < Duration(answer_valid);
 }
 
-auto quota_gate::proxy_count() const -> double {
+auto quota_limiter::proxy_count() const -> double {
   return std::max<double>(
       {1, static_cast<double>(this->known_proxies), static_cast<double>(this->reporting_proxies)});
 }
 
-auto quota_gate::is_surge(const tenant_account& account) const -> bool {
+auto quota_limiter::is_surge(const tenant_account& account) const -> bool {
   const auto unreported = static_cast<double>(account.arrived - account.arrived_reported);
   const auto part = account.rate * report_interval_s / this->proxy_count();
   return account.fraction >= 1 && unreported >= std::max(min_surge_requests, part * surge_factor);
@@ -111,7 +111,7 @@
 
 // In whole requests. Where the part is below one, a draw by tenant and proxy
 // gives some proxies one and the others none, so that their sum is right.
-auto quota_gate::equal_part(const std::string& tenant, const tenant_account& account) const
+auto quota_limiter::equal_part(const std::string& tenant, const tenant_account& account) const
     -> double {
   const auto bound = this->bounds.most_runs(account.rate, account.burst);
   const auto part = bound * equal_parts_share / this->proxy_count();
@@ -123,7 +123,7 @@
 
 // Carries the rest of the fraction from one request to the next, so that the
 // admitted requests are spread evenly.
-auto quota_gate::spend_fraction(tenant_account& account) -> bool {
+auto quota_limiter::spend_fraction(tenant_account& account) -> bool {
   if (account.fraction >= 1) {
     return true;
   }
@@ -135,7 +135,7 @@
   return true;
 }
 
-auto quota_gate::ask(const std::string& tenant, TimePoint now) -> quota_verdict {
+auto quota_limiter::ask(const std::string& tenant, TimePoint now) -> quota_verdict {
   const auto found = this->tenants.find(tenant);
   if (found == this->tenants.end() || found->second.rate == 0) {
     return {};
@@ -158,7 +158,7 @@
   return {true, alone, Duration(0)};
 }
 
-void quota_gate::on_not_run(const std::string& tenant, TimePoint now) {
+void quota_limiter::on_not_run(const std::string& tenant, TimePoint now) {
   const auto found = this->tenants.find(tenant);
   if (found == this->tenants.end() || found->second.rate == 0) {
     return;
@@ -167,7 +167,7 @@
   found->second.recent.add(-1, now, this->bounds.window);
 }
 
-auto quota_gate::report() -> std::optional<quota_report> {
+auto quota_limiter::report() -> std::optional<quota_report> {
   const auto limited = std::any_of(this->tenants.begin(), this->tenants.end(),
                                    [](const auto& entry) { return entry.second.rate > 0; });
   if (!limited) {
@@ -189,7 +189,7 @@
   return report;
 }
 
-void quota_gate::confirm(const std::vector<tenant_use>& uses) {
+void quota_limiter::confirm(const std::vector<tenant_use>& uses) {
   for (const auto& use : uses) {
     const auto found = this->tenants.find(use.tenant);
     if (found != this->tenants.end()) {
@@ -199,7 +199,7 @@
   }
 }
 
-void quota_gate::on_answer(std::uint64_t sequence, const quota_answer& latest, TimePoint asked) {
+void quota_limiter::on_answer(std::uint64_t sequence, const quota_answer& latest, TimePoint asked) {
   if (this->last_report && this->last_report->sequence == sequence) {
     this->confirm(this->last_report->uses);
   }
--- a/core/tenants/quota_gate.h
+++ b/core/tenants/quota_limiter.h
@@ -32,9 +32,9 @@
   Duration retry_after{0};  // when more of the tenant's requests may be admitted; if refused
 };
 
-class quota_gate {
+class quota_limiter {
  public:
-  quota_gate(QuotaBounds bounds, std::uint64_t seed)
+  quota_limiter(QuotaBounds bounds, std::uint64_t seed)
       : bounds(bounds), random(seed), drawing_seed(random.next()) {}
 
   void set_limits(const std::vector<TenantDefinition>& tenants);
@@ -47,7 +47,7 @@
   void on_not_run(const std::string& tenant, TimePoint now);
 
   /// Whether some tenant has sent so much since the last report that a report is due at once.
-  [[nodiscard]] auto surging() const -> bool { return this->surge; }
+  [[nodiscard]] auto has_surge() const -> bool { return this->surge; }
   /// The totals that the leader has not confirmed; nothing when no tenant has a
   /// limit. The caller fills in `proxy_address` and `incarnation`.
   auto report() -> std::optional<quota_report>;
--- a/daemon/proxy/crash_guard.cc
+++ b/daemon/proxy/crash_guard.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "common/event_log.h"
-#include "core/crash_evidence/trial_place.h"
+#include "core/crash_evidence/quarantine_placement.h"
 #include "daemon/proxy/inbound_request.h"
 #include "daemon/proxy/proxy_context.h"
 #include "daemon/proxy/server_probe.h"
@@ -55,8 +55,8 @@
 
 auto crash_guard::has_trial(const request_digest& digest) const -> bool {
   const auto& service = this->context.own.reports().heartbeat().service;
-  return is_trial_place(digest, this->context.settings.peer_address.toString(),
-                        this->context.directory.proxiesOf(service));
+  return is_quarantine_proxy(digest, this->context.settings.peer_address.toString(),
+                             this->context.directory.proxiesOf(service));
 }
 
 void crash_guard::on_reported_crash(const request_digest& digest) {
--- a/daemon/proxy/forwarded_terms.cc
+++ b/daemon/proxy/forwarded_terms.cc
@@ -62,7 +62,7 @@
   if (std::holds_alternative<key_refused>(found)) {
     return own_answer{own_answer_kind::unknown_key};
   }
-  if (std::holds_alternative<key_unjudged>(found)) {
+  if (std::holds_alternative<key_unverifiable>(found)) {
     return own_answer{own_answer_kind::keys_unverifiable};
   }
   this->tenant = std::get<identified>(found).tenant;
@@ -79,7 +79,7 @@
   }
   const auto verdict = context.quotas.ask(this->tenant->name, EventLoop::now());
   this->counted_by_quota = verdict.admitted;
-  if (context.quotas.surging() && context.on_tenant_surge) {
+  if (context.quotas.has_surge() && context.on_tenant_surge) {
     context.on_tenant_surge();
   }
   if (verdict.admitted) {
--- a/daemon/proxy/inbound_request.cc
+++ b/daemon/proxy/inbound_request.cc
@@ -85,7 +85,7 @@
   const suspicion_state held =
       digest_ ? context_.guard.judge(*digest_) : suspicion_state(unsuspected{});
   const bool has_trial =
-      std::holds_alternative<on_trial>(held) && context_.guard.has_trial(*digest_);
+      std::holds_alternative<quarantined>(held) && context_.guard.has_trial(*digest_);
   alone_ = false;
   std::visit(
       overloaded{[&](const dispatch_shared&) { askAdmission(); },
--- a/daemon/proxy/proxy_context.h
+++ b/daemon/proxy/proxy_context.h
@@ -21,7 +21,7 @@
 #include "core/retries/retry_budgets.h"
 #include "core/tenants/api_keys.h"
 #include "core/tenants/authority_lease.h"
-#include "core/tenants/quota_gate.h"
+#include "core/tenants/quota_limiter.h"
 #include "core/tenants/tenant_rank.h"
 #include "core/traffic/traffic_configuration.h"
 #include "daemon/proxy/crash_guard.h"
@@ -63,7 +63,7 @@
   Random random;
   std::shared_ptr<const TrafficInForce> traffic;
   authority_lease lease;  ///< On keys.
-  quota_gate quotas;
+  quota_limiter quotas;
   InstanceDirectory directory;
   proxy_counters counters;
   own_server own;
--- a/daemon/proxy/proxy_process.cc
+++ b/daemon/proxy/proxy_process.cc
@@ -154,7 +154,7 @@
                       [this, poll_id, asked = now](const std::optional<ControlReply>& reply) {
                         const std::string before = session_.upstream();
                         if (session_.onReply(poll_id, reply, EventLoop::now())) {
-                          context_.lease.on_proven(asked);
+                          context_.lease.on_confirmed(asked);
                         }
                         if (session_.upstream() != before) {
                           logEvent(EventLoop::now().count(), "control_member",
--- a/daemon/proxy/tenant_reports.cc
+++ b/daemon/proxy/tenant_reports.cc
@@ -17,7 +17,7 @@
 }  // namespace
 
 tenant_reports::tenant_reports(EventLoop& loop, ProxySession& session, ControlChannels& channels,
-                               quota_gate& quotas, const InstanceDirectory& directory,
+                               quota_limiter& quotas, const InstanceDirectory& directory,
                                std::string own_address)
     : session(session),
       channels(channels),
--- a/daemon/proxy/tenant_reports.h
+++ b/daemon/proxy/tenant_reports.h
@@ -11,7 +11,7 @@
 
 #include "core/placement/instance_directory.h"
 #include "core/session/proxy_session.h"
-#include "core/tenants/quota_gate.h"
+#include "core/tenants/quota_limiter.h"
 #include "net/stream/control_channels.h"
 #include "net/stream/event_loop.h"
 
@@ -21,7 +21,8 @@
  public:
   /// `own_address` names this proxy to the leader.
   tenant_reports(EventLoop& loop, ProxySession& session, ControlChannels& channels,
-                 quota_gate& quotas, const InstanceDirectory& directory, std::string own_address);
+                 quota_limiter& quotas, const InstanceDirectory& directory,
+                 std::string own_address);
 
   /// Reports now if there is a leader and anything to report, and from then on at an interval.
   void report();
@@ -34,7 +35,7 @@
 
   ProxySession& session;
   ControlChannels& channels;
-  quota_gate& quotas;
+  quota_limiter& quotas;
   const InstanceDirectory& directory;
   std::string own_address;
   LoopTimer timer;
--- a/tests/core/crash_evidence/crash_fleet_test.cc
+++ b/tests/core/crash_evidence/crash_fleet_test.cc
@@ -13,7 +13,7 @@
 #include "core/crash_evidence/crash_ledger.h"
 #include "core/crash_evidence/evidence_registry.h"
 #include "core/crash_evidence/isolation_queue.h"
-#include "core/crash_evidence/trial_place.h"
+#include "core/crash_evidence/quarantine_placement.h"
 #include "core/overloaded.h"
 #include "core/random.h"
 
@@ -161,8 +161,8 @@
                      const auto light = s.crashes == 1;
                      return this->isolate(proxy, run, time_left / (light ? 4 : 2), light);
                    },
-                   [&](const on_trial&) {
-                     return is_trial_place(run.digest, proxy.address, this->ready_proxies()) &&
+                   [&](const quarantined&) {
+                     return is_quarantine_proxy(run.digest, proxy.address, this->ready_proxies()) &&
                             this->isolate(proxy, run, time_left / 2, false);
                    },
                    [&](const blocked&) {
--- a/tests/core/crash_evidence/crash_ledger_test.cc
+++ b/tests/core/crash_evidence/crash_ledger_test.cc
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "core/crash_evidence/trial_place.h"
+#include "core/crash_evidence/quarantine_placement.h"
 
 namespace ramppond {
 namespace {
@@ -100,7 +100,7 @@
   EXPECT_FALSE(this->suspects(third, popular));
 }
 
-TEST(trial_place, is_one_daemon_for_all_and_moves_only_when_it_is_gone) {
+TEST(quarantine_placement, is_one_daemon_for_all_and_moves_only_when_it_is_gone) {
   auto proxies = std::vector<std::string>();
   for (auto i = 0; i < 200; ++i) {
     proxies.push_back("10.0.0." + std::to_string(i) + ":7060");
@@ -109,7 +109,7 @@
     const auto digest = request_digest{request, request};
     auto places = std::vector<std::string>();
     for (const auto& proxy : proxies) {
-      if (is_trial_place(digest, proxy, proxies)) {
+      if (is_quarantine_proxy(digest, proxy, proxies)) {
         places.push_back(proxy);
       }
     }
@@ -117,7 +117,7 @@
     auto fewer = proxies;
     fewer.erase(std::find(fewer.begin(), fewer.end(), places[0]) == fewer.begin() ? fewer.end() - 1
                                                                                   : fewer.begin());
-    EXPECT_TRUE(is_trial_place(digest, places[0], fewer));
+    EXPECT_TRUE(is_quarantine_proxy(digest, places[0], fewer));
   }
 }
 
--- a/tests/core/session/member_ranking_test.cc
+++ b/tests/core/session/member_ranking_test.cc
@@ -16,8 +16,8 @@
 }
 
 auto places(const std::vector<std::string>& members, const std::string& zone = "")
-    -> std::vector<ControlMemberPlace> {
-  auto list = std::vector<ControlMemberPlace>();
+    -> std::vector<ControlMemberLocation> {
+  auto list = std::vector<ControlMemberLocation>();
   for (const auto& member : members) list.push_back({member, zone});
   return list;
 }
--- a/tests/core/tenants/identity_test.cc
+++ b/tests/core/tenants/identity_test.cc
@@ -49,7 +49,7 @@
       EXPECT_TRUE(std::holds_alternative<key_refused>(found));
       return;
     case expected::unjudged:
-      EXPECT_TRUE(std::holds_alternative<key_unjudged>(found));
+      EXPECT_TRUE(std::holds_alternative<key_unverifiable>(found));
       return;
     case expected::anonymous:
     case expected::council:
--- a/tests/core/tenants/quota_test.cc
+++ b/tests/core/tenants/quota_test.cc
@@ -6,8 +6,8 @@
 #include <deque>
 #include <memory>
 
-#include "core/tenants/quota_gate.h"
 #include "core/tenants/quota_ledger.h"
+#include "core/tenants/quota_limiter.h"
 
 namespace ramppond {
 namespace {
@@ -38,7 +38,7 @@
 
   void restart(std::size_t i) {
     auto& d = this->daemons.at(i);
-    d.gate = std::make_unique<quota_gate>(bounds, this->random.next());
+    d.gate = std::make_unique<quota_limiter>(bounds, this->random.next());
     d.gate->set_known_proxies(this->daemons.size());
     d.configured = false;
     d.incarnation += 1;
@@ -66,7 +66,7 @@
       for (; this->due >= 1; this->due -= 1) {
         auto& d = this->daemons.at(this->random.below(this->daemons.size()));
         const auto admitted = d.configured && d.gate->ask(tenant_name, this->now).admitted;
-        d.next_report = d.configured && d.gate->surging() ? this->now : d.next_report;
+        d.next_report = d.configured && d.gate->has_surge() ? this->now : d.next_report;
         admitted ? this->runs.push_back(this->now) : this->refusals.push_back(this->now);
       }
       this->report();
@@ -98,7 +98,7 @@
 
  private:
   struct daemon {
-    std::unique_ptr<quota_gate> gate;
+    std::unique_ptr<quota_limiter> gate;
     std::uint64_t incarnation = 0;
     Duration phase{0};
     TimePoint next_report{0};
@@ -226,7 +226,7 @@
 }
 
 TEST(quota, a_request_that_did_not_run_is_given_back) {
-  auto gate = quota_gate(bounds, 1);
+  auto gate = quota_limiter(bounds, 1);
   gate.set_limits(limit(1, 1));
   gate.set_known_proxies(1);
   for (int i = 0; i < 100; ++i) {
@@ -237,7 +237,7 @@
 
 // A leader whose answers take longer than a report's interval is still heard.
 TEST(quota, an_answer_that_comes_after_the_next_report_counts) {
-  auto gate = quota_gate(bounds, 1);
+  auto gate = quota_limiter(bounds, 1);
   gate.set_limits(limit(1, 1));
   gate.set_known_proxies(1000);
   const auto first = gate.report();
@@ -253,7 +253,7 @@
 }
 
 TEST(quota, who_is_refused_is_told_when_to_come_back) {
-  auto gate = quota_gate(bounds, 1);
+  auto gate = quota_limiter(bounds, 1);
   gate.set_limits(limit(1, 1));
   gate.set_known_proxies(1);
   auto verdict = quota_verdict();
