--- a/spec/key_lease.pml
+++ b/spec/key_lease.pml
@@ -1,4 +1,5 @@
-/* The lease on keys, as core/tenants/authority_lease.cc and core/consensus/state_proof.cc do it.
+/* The lease on keys, as core/tenants/authority_lease.cc and core/consensus/read_index_tracker.cc
+ * do it.
  *
  * Time goes on in steps. A daemon asks a member; the question may be on its way for any time. The
  * member is one that may be deposed: it answers with the state that it holds once a quorum has
