--- a/core/call_model/call.h
+++ b/core/call_model/call.h
@@ -1,4 +1,7 @@
-// The messages of a call between daemons, and the context that travels down the call tree.
+// Messages of a call between two daemons, and the context that is passed down the call tree.
+//
+// A front request is a request that enters the call graph from outside; the calls that are made
+// to answer it form its call tree. The types here are plain data.
 #pragma once
 
 #include <cstdint>
@@ -12,8 +15,8 @@
 
 namespace ramppond {
 
-/// Names one attempt of one call. `sender` is the sending daemon's incarnation, drawn anew at
-/// each start; `sequence` counts up within it, so no id is ever used twice.
+/// Identifies one attempt of one call. `sender` is the incarnation of the sending daemon, which is
+/// random and new at each start; `sequence` increases within an incarnation. Ids are never reused.
 struct CallId {
   std::uint64_t sender = 0;
   std::uint64_t sequence = 0;
@@ -39,18 +42,18 @@
   }
 };
 
-/// What all calls of one front request share. Minted by the first daemon, never taken from
-/// outside.
+/// Properties that a call inherits from its front request. Created by the daemon that accepts the
+/// front request, and never accepted from outside.
 struct CallContext {
-  std::string request_id;  ///< The front request, for tracing.
-  std::string work_type;   ///< Its work type's name.
-  Duration time_left{0};   ///< Until the deadline; relative, so clocks may differ.
+  std::string request_id;  ///< Id of the front request, for tracing.
+  std::string work_type;   ///< Name of the front request's work type.
+  Duration time_left{0};   ///< Until the deadline; relative, since clocks may differ.
   Level level = kLowestLevel;
   WorkKind kind = WorkKind::kBulk;
-  std::uint32_t retry_allowance = 0;  ///< Retries lent to the receiver of this call.
-  std::uint32_t depth = 0;            ///< Hops from the front.
-  std::string idempotency_key;        ///< Scoped claim key; empty if nothing is claimed.
-  bool repeatable = false;            ///< May be tried again when the outcome is unknown.
+  std::uint32_t retry_allowance = 0;  ///< Retries that the receiver of this call may use.
+  std::uint32_t depth = 0;            ///< Number of hops from the front request.
+  std::string idempotency_key;        ///< Scoped key to claim; empty if the call needs no claim.
+  bool repeatable = false;            ///< May be retried when the outcome is unknown.
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -66,7 +69,7 @@
   }
 };
 
-/// What is carried from the requester to the back end, not looked into.
+/// The request for the back end, forwarded without interpretation.
 struct CallPayload {
   std::string method = "POST";
   std::string path;          ///< Starts with '/'.
@@ -82,11 +85,12 @@
   }
 };
 
-/// A call as sent to the daemon of the server that is to run it.
+/// A call as sent to the daemon of the server that should run it.
 struct CallRequest {
   CallId id;
-  /// The receiver's incarnation as the sender knows it. A receiver of another incarnation has
-  /// lost its record of past calls and refuses; zero asks only for the receiver's incarnation.
+  /// The receiver's incarnation as far as the sender knows. A receiver of another incarnation
+  /// refuses the call, because it has lost its record of past calls. Zero only asks for the
+  /// receiver's incarnation.
   std::uint64_t receiver_incarnation = 0;
   CallContext context;
   std::string service;
@@ -104,21 +108,21 @@
 
 /// The answer to a call.
 struct CallAnswer {
-  CallId id;                               ///< Echo of the request's id; checked.
-  std::uint64_t receiver_incarnation = 0;  ///< Who answered.
+  CallId id;                               ///< Id of the request; checked by the sender.
+  std::uint64_t receiver_incarnation = 0;  ///< Incarnation of the daemon that answered.
   ErrorKind error = ErrorKind::kNone;
   Outcome outcome = Outcome::kNotRun;
-  std::uint32_t status = 0;  ///< The back end's HTTP status when it ran.
+  std::uint32_t status = 0;  ///< HTTP status of the back end if the call ran.
   std::string content_type;
   std::string body;
   std::uint64_t body_checksum = 0;     ///< XXH3 of `body`.
-  std::uint32_t retries_returned = 0;  ///< What is left of the lent allowance.
-  /// Strictest admission cut along the chain below, as in Rajomon's summed prices (NSDI 2025):
-  /// work of a higher level than this is being refused somewhere down the tree.
+  std::uint32_t retries_returned = 0;  ///< Unused part of the request's retry allowance.
+  /// Strictest admission cut in the call tree below this call: work of a higher level is refused
+  /// somewhere in it. Similar to the summed prices of Rajomon (NSDI 2025).
   Level chain_cut = kLowestLevel;
   Duration retry_after{0};
   bool draining = false;            ///< The server takes no new work.
-  std::uint32_t load_permille = 0;  ///< Calls held by the server per 1000 of its limit.
+  std::uint32_t load_permille = 0;  ///< Calls held by the server, in thousandths of its limit.
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -138,10 +142,10 @@
   }
 };
 
-/// Checksum carried beside a body.
+/// XXH3 checksum that is sent along with a body.
 std::uint64_t bodyChecksum(const std::string& body);
 
-/// An answer of ours for `kind`; the outcome is the table's.
+/// The daemon's own answer for an error of `kind`, with the outcome that errorAnswer() gives.
 CallAnswer errorCallAnswer(const CallId& id, ErrorKind kind);
 
 }  // namespace ramppond
--- a/core/call_model/configuration.h
+++ b/core/call_model/configuration.h
@@ -1,4 +1,4 @@
-// The configuration that operators confirm: priority classes, kinds of work and their order.
+// The configuration that operators confirm: priority classes, work types and their shedding order.
 #pragma once
 
 #include <cstdint>
@@ -8,9 +8,10 @@
 
 namespace ramppond {
 
-/// The fixed order of shedding; a lower value is shed later. No intent can invert it.
+/// Kinds of work in their fixed shedding order: a lower value is shed later. Intents cannot change
+/// this order.
 enum class WorkKind : std::uint8_t {
-  kCommitOnce = 0,  ///< May not be repeated: runs at most once.
+  kCommitOnce = 0,  ///< Must not be repeated: runs at most once.
   kLookup = 1,      ///< Read only; may be repeated.
   kBulk = 2,        ///< Exports and bulk downloads; shed first.
 };
@@ -18,12 +19,12 @@
 std::string workKindName(WorkKind kind);
 std::optional<WorkKind> parseWorkKind(const std::string& name);
 
-/// A class that callers pay for. Under shortage a class's share of what is admitted within a
-/// kind of work is proportional to its weight.
+/// A class that callers pay for. Under overload, the share of a class in the admitted work of one
+/// kind is proportional to its weight.
 struct PriorityClass {
   std::string name;
   std::uint32_t weight = 1;              ///< 1 to kMaximumClassWeight.
-  std::vector<std::string> caller_keys;  ///< Keys by which callers prove the class.
+  std::vector<std::string> caller_keys;  ///< Keys that identify the callers of this class.
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -33,7 +34,7 @@
   }
 };
 
-/// A named group of front requests, e.g. "lodgements": a service and a path prefix on it.
+/// A named group of front requests, e.g. "lodgements", given by a service and a path prefix.
 struct WorkType {
   std::string name;
   std::string service;
@@ -51,7 +52,7 @@
   }
 };
 
-/// Position of a configuration in the replicated log; (term, index) orders all versions.
+/// Position of a configuration in the replicated log. Versions are ordered by index, then by term.
 struct ConfigurationVersion {
   std::uint64_t term = 0;
   std::uint64_t index = 0;
@@ -77,7 +78,8 @@
 constexpr std::uint32_t kMaximumWorkRank = 15;
 constexpr std::uint32_t kDefaultRetryAllowance = 3;
 
-/// A confirmed statement "`higher` outranks `lower`" about two work types of one kind.
+/// A confirmed rule that work type `higher` outranks work type `lower`, so that it is shed later.
+/// It sets ranks within one kind; across kinds it may only agree with the fixed order.
 struct Intent {
   std::string higher;
   std::string lower;
@@ -93,15 +95,15 @@
   [[nodiscard]] std::string toString() const { return higher + " outrank " + lower; }
 };
 
-/// Everything that operators decide and every daemon holds.
+/// All settings that operators decide on. Every daemon holds a copy.
 struct Configuration {
-  std::uint64_t group_id = 0;  ///< The control group that issued it; 0 before the first.
+  std::uint64_t group_id = 0;  ///< Control group that issued it; 0 if there is none yet.
   ConfigurationVersion version;
   std::uint32_t retry_allowance = kDefaultRetryAllowance;  ///< Retries per front request.
   std::vector<PriorityClass> classes;
   std::vector<WorkType> work_types;
-  std::vector<Intent> intents;                ///< In their order of confirmation.
-  std::vector<std::string> draining_servers;  ///< Servers an operator takes out of use.
+  std::vector<Intent> intents;                ///< In order of confirmation.
+  std::vector<std::string> draining_servers;  ///< Servers that an operator drains.
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -114,23 +116,24 @@
     visitor(7, draining_servers);
   }
 
-  /// The class a caller key pays for, or nullptr.
+  /// The class that `caller_key` belongs to, or nullptr.
   [[nodiscard]] const PriorityClass* classOfKey(const std::string& caller_key) const;
-  /// The work type with the longest matching path prefix on `service`, or nullptr.
+  /// The work type of `service` with the longest path prefix that matches `path`, or nullptr.
   [[nodiscard]] const WorkType* workTypeOf(const std::string& service,
                                            const std::string& path) const;
   [[nodiscard]] const WorkType* findWorkType(const std::string& name) const;
-  /// Work type names from the first shed to the last.
+  /// Names of the work types, from the first to be shed to the last.
   [[nodiscard]] std::vector<std::string> shedOrder() const;
 };
 
-/// Holds the version in force on one process and refuses any older one, and any from another
-/// control group once one is held.
+/// Holds the configuration that is in force in this process. Refuses configurations that are not
+/// newer, and those of any control group other than the one of the first configuration taken.
 class ConfigurationHolder {
  public:
-  /// `refuse_older` is false only in a variant that proves the scenarios.
+  /// `refuse_older` is false only in a deliberately faulty variant, which shows that the test
+  /// scenarios detect the fault.
   explicit ConfigurationHolder(bool refuse_older = true) : refuse_older_(refuse_older) {}
-  /// Takes `candidate` if it is newer than what is held. Returns whether it was taken.
+  /// Takes `candidate` if it is newer than the current configuration. Returns whether it was taken.
   bool offer(const Configuration& candidate);
   [[nodiscard]] bool hasAny() const { return current_.group_id != 0; }
   [[nodiscard]] const Configuration& current() const { return current_; }
--- a/core/call_model/planning.cc
+++ b/core/call_model/planning.cc
@@ -20,10 +20,10 @@
 }
 
 template <class Item>
-void putNamed(std::vector<Item>& items, const Item& item) {
-  Item* present = findNamed(items, item.name);
-  if (present != nullptr) {
-    *present = item;
+void insertOrReplaceNamed(std::vector<Item>& items, const Item& item) {
+  Item* existing = findNamed(items, item.name);
+  if (existing != nullptr) {
+    *existing = item;
   } else {
     items.push_back(item);
   }
@@ -40,9 +40,9 @@
   return std::nullopt;
 }
 
-// Whether the intents say, directly or through others, that `higher` outranks `lower`.
-bool impliesOutrank(const std::vector<Intent>& intents, const std::string& higher,
-                    const std::string& lower) {
+// Whether `higher` outranks `lower` by the intents, directly or transitively.
+bool outranksTransitively(const std::vector<Intent>& intents, const std::string& higher,
+                          const std::string& lower) {
   std::vector<std::string> reached = {higher};
   for (std::size_t next = 0; next < reached.size(); ++next) {
     for (const Intent& intent : intents) {
@@ -55,7 +55,8 @@
   return higher != lower && std::find(reached.begin(), reached.end(), lower) != reached.end();
 }
 
-// Rank of a work type: the longest chain of intents above it within its kind.
+// Sets the rank of each work type to the length of the longest chain of intents above it within
+// its kind, at most kMaximumWorkRank.
 void recomputeRanks(Configuration& configuration) {
   for (WorkType& type : configuration.work_types) {
     type.rank = 0;
@@ -91,7 +92,7 @@
   auto& intents = configuration.intents;
   const Intent opposite = {intent.lower, intent.higher};
   intents.erase(std::remove(intents.begin(), intents.end(), opposite), intents.end());
-  if (impliesOutrank(intents, intent.lower, intent.higher)) {
+  if (outranksTransitively(intents, intent.lower, intent.higher)) {
     return planningError(ErrorKind::kPromiseOrder, "other intents already put '" + intent.lower +
                                                        "' above '" + intent.higher + "'");
   }
@@ -117,7 +118,7 @@
                            "caller key '" + key + "' already belongs to " + owner->name);
     }
   }
-  putNamed(configuration.classes, priority_class);
+  insertOrReplaceNamed(configuration.classes, priority_class);
   return std::nullopt;
 }
 
@@ -126,16 +127,16 @@
     return planningError(ErrorKind::kMalformedRequest,
                          "a work type needs a name, a service and a path that starts with /");
   }
-  putNamed(configuration.work_types, type);
+  insertOrReplaceNamed(configuration.work_types, type);
   return std::nullopt;
 }
 
 std::optional<PlanningError> removeWorkType(const std::string& name, Configuration& configuration) {
   auto& intents = configuration.intents;
-  const auto names_it = [&](const Intent& intent) {
+  const auto refers_to_name = [&](const Intent& intent) {
     return intent.higher == name || intent.lower == name;
   };
-  intents.erase(std::remove_if(intents.begin(), intents.end(), names_it), intents.end());
+  intents.erase(std::remove_if(intents.begin(), intents.end(), refers_to_name), intents.end());
   return removeNamed(configuration.work_types, name);
 }
 
--- a/core/call_model/planning.h
+++ b/core/call_model/planning.h
@@ -1,4 +1,4 @@
-// From an operator's wish to a new configuration: changes, intents, and the lines of a plan.
+// Applies an operator's changes to a configuration, and describes the result as lines of a plan.
 #pragma once
 
 #include <optional>
@@ -21,7 +21,7 @@
   kRestoreServer = 7,
 };
 
-/// One wished change. Only the field that belongs to `type` is read.
+/// One requested change. Only the field that belongs to `type` is read.
 struct ConfigurationChange {
   ChangeType type = ChangeType::kAddIntent;
   PriorityClass priority_class;
@@ -41,20 +41,22 @@
   }
 };
 
-/// Reads "NAME outrank NAME" (or "outranks"). Nothing if the text has another form.
+/// Parses "NAME outrank NAME" or "NAME outranks NAME"; std::nullopt for any other text.
 std::optional<Intent> parseIntent(const std::string& text);
 
-/// Why a change cannot be made.
+/// The reason why a change was refused.
 struct PlanningError {
   ErrorKind kind = ErrorKind::kNone;
   std::string reason;
 };
 
-/// Applies `changes` to `configuration` in order; leaves it as it was on the first error.
+/// Applies `changes` to `configuration` in order. On the first error, returns it and leaves
+/// `configuration` unchanged.
 std::optional<PlanningError> applyChanges(const std::vector<ConfigurationChange>& changes,
                                           Configuration& configuration);
 
-/// What differs between two configurations, a line each, ending in the order of shedding.
+/// The differences between two configurations, one per line, followed by the shedding order before
+/// and after.
 std::vector<std::string> describeDifference(const Configuration& before,
                                             const Configuration& after);
 
--- a/core/call_model/router.cc
+++ b/core/call_model/router.cc
@@ -5,14 +5,16 @@
 namespace ramppond {
 namespace {
 
+// Weight of a new sample in the moving average of the latency.
 constexpr double kLatencySmoothing = 0.1;
+// Latency assumed for a server without samples.
 constexpr double kUnknownLatencyUs = 1000;
-// A server that refused for load is passed over for about one service time, so that retries and
-// later calls try its neighbours first.
+// A server that refused a call because of load is avoided for about one service time, so that
+// retries and later calls try other servers first.
 constexpr Duration kAvoidAfterRefusal = milliseconds(20);
 constexpr Duration kAvoidAfterFailure = milliseconds(200);
 constexpr std::uint32_t kMaximumBackoffDoublings = 4;
-// A new server gets a growing share for this long, since it starts cold.
+// Period in which the share of a new server grows, since it starts cold.
 constexpr Duration kSlowStart = seconds(5);
 constexpr double kSlowStartPenalty = 3.0;
 
@@ -21,12 +23,12 @@
 void Router::setServers(const std::string& service, const std::vector<ServerInfo>& servers,
                         TimePoint now) {
   const bool first_list = services_.count(service) == 0;
-  ServerMap& present = services_[service];
+  ServerMap& servers_by_name = services_[service];
   ServerMap next;
   for (const ServerInfo& info : servers) {
-    const auto found = present.find(info.name);
+    const auto found = servers_by_name.find(info.name);
     Server server;
-    if (found != present.end() && found->second.info.peer_address == info.peer_address) {
+    if (found != servers_by_name.end() && found->second.info.peer_address == info.peer_address) {
       server = found->second;
     } else {
       server.known_since = first_list ? now - kSlowStart : now;
@@ -41,33 +43,33 @@
     }
     next.emplace(info.name, std::move(server));
   }
-  present = std::move(next);
+  servers_by_name = std::move(next);
 }
 
 void Router::setDrainedByOperator(const std::vector<std::string>& servers) {
-  drained_ = servers;
+  drained_by_operator_ = servers;
 }
 
 bool Router::knows(const std::string& service) const {
   return services_.count(service) != 0;
 }
 
-bool Router::takesWork(const Server& server) const {
-  const bool drained =
-      std::find(drained_.begin(), drained_.end(), server.info.name) != drained_.end();
+bool Router::acceptsWork(const Server& server) const {
+  const bool drained = std::find(drained_by_operator_.begin(), drained_by_operator_.end(),
+                                 server.info.name) != drained_by_operator_.end();
   return !server.draining && !server.info.leaving && !drained;
 }
 
-// Expected wait: latency, times the calls ahead, with a penalty while the server is cold.
+// Expected wait: the latency times the number of calls ahead, with a penalty during slow start.
 double Router::score(const Server& server, TimePoint now) const {
   const double latency = server.latency_us > 0 ? server.latency_us : kUnknownLatencyUs;
   const double load = 1.0 + server.outstanding + server.load_permille / 100.0;
   const Duration age = std::min<Duration>(kSlowStart, now - server.known_since);
-  const double coldness = 1.0 - static_cast<double>(age.count()) / kSlowStart.count();
-  return latency * load * (1.0 + kSlowStartPenalty * coldness);
+  const double slow_start_left = 1.0 - static_cast<double>(age.count()) / kSlowStart.count();
+  return latency * load * (1.0 + kSlowStartPenalty * slow_start_left);
 }
 
-const Router::Server* Router::pickAmong(const std::vector<const Server*>& candidates,
+const Router::Server* Router::pickOfTwo(const std::vector<const Server*>& candidates,
                                         TimePoint now) {
   std::vector<const Server*> local;
   for (const Server* server : candidates) {
@@ -90,7 +92,7 @@
   std::vector<const Server*> preferred;
   std::vector<const Server*> avoided;
   for (const auto& [name, server] : found->second) {
-    if (!takesWork(server)) {
+    if (!acceptsWork(server)) {
       continue;
     }
     const bool tried = std::find(excluded.begin(), excluded.end(), name) != excluded.end();
@@ -100,7 +102,7 @@
   if (preferred.empty() && avoided.empty()) {
     return std::nullopt;
   }
-  const Server* chosen = pickAmong(preferred.empty() ? avoided : preferred, now);
+  const Server* chosen = pickOfTwo(preferred.empty() ? avoided : preferred, now);
   return RouteChoice{chosen->info.name, chosen->info.peer_address, chosen->incarnation,
                      preferred.empty()};
 }
@@ -160,7 +162,7 @@
   target->failures += 1;
   target->avoid_until = now + kAvoidAfterFailure * (1U << doublings);
   if (never_sent) {
-    target->incarnation = 0;  // Whoever comes back there may be another process.
+    target->incarnation = 0;  // The server may have been replaced by another process.
   }
 }
 
--- a/tests/core/call_model/planning_test.cc
+++ b/tests/core/call_model/planning_test.cc
@@ -6,30 +6,31 @@
 namespace ramppond {
 namespace {
 
-ConfigurationChange workChange(const std::string& name, WorkKind kind) {
+ConfigurationChange setWorkTypeChange(const std::string& name, WorkKind kind) {
   ConfigurationChange change;
   change.type = ChangeType::kSetWorkType;
   change.work_type = {name, name + "-service", "/", kind, 0};
   return change;
 }
 
-ConfigurationChange intentChange(const std::string& higher, const std::string& lower) {
+ConfigurationChange addIntentChange(const std::string& higher, const std::string& lower) {
   ConfigurationChange change;
   change.type = ChangeType::kAddIntent;
   change.intent = {higher, lower};
   return change;
 }
 
-Configuration brigalow() {
+Configuration exampleConfiguration() {
   Configuration configuration;
-  EXPECT_FALSE(applyChanges(
-      {workChange("lodgements", WorkKind::kCommitOnce), workChange("templates", WorkKind::kLookup),
-       workChange("history", WorkKind::kLookup), workChange("exports", WorkKind::kBulk)},
-      configuration));
+  EXPECT_FALSE(applyChanges({setWorkTypeChange("lodgements", WorkKind::kCommitOnce),
+                             setWorkTypeChange("templates", WorkKind::kLookup),
+                             setWorkTypeChange("history", WorkKind::kLookup),
+                             setWorkTypeChange("exports", WorkKind::kBulk)},
+                            configuration));
   return configuration;
 }
 
-TEST(Planning, ParsesIntents) {
+TEST(Planning, ParseIntentAcceptsOnlyNameOutrankName) {
   const auto intent = parseIntent("lodgements outrank exports");
   ASSERT_TRUE(intent);
   EXPECT_EQ(intent->higher, "lodgements");
@@ -40,58 +41,59 @@
   EXPECT_FALSE(parseIntent("a outrank b c"));
 }
 
-TEST(Planning, KindsAloneGiveThePromisedOrder) {
-  const auto order = brigalow().shedOrder();
+TEST(Planning, WithoutIntentsBulkIsShedFirstAndCommitOnceLast) {
+  const auto order = exampleConfiguration().shedOrder();
   ASSERT_EQ(order.size(), 4U);
   EXPECT_EQ(order.front(), "exports");
   EXPECT_EQ(order.back(), "lodgements");
 }
 
-TEST(Planning, AnIntentOrdersWorkWithinAKind) {
-  Configuration configuration = brigalow();
-  ASSERT_FALSE(applyChanges({intentChange("history", "templates")}, configuration));
+TEST(Planning, IntentOrdersWorkTypesWithinKind) {
+  Configuration configuration = exampleConfiguration();
+  ASSERT_FALSE(applyChanges({addIntentChange("history", "templates")}, configuration));
   const std::vector<std::string> expected = {"exports", "templates", "history", "lodgements"};
   EXPECT_EQ(configuration.shedOrder(), expected);
 }
 
-TEST(Planning, AnIntentAgainstThePromisedOrderIsRefused) {
-  Configuration configuration = brigalow();
-  const auto error = applyChanges({intentChange("exports", "lodgements")}, configuration);
+TEST(Planning, IntentAgainstOrderOfKindsIsRefused) {
+  Configuration configuration = exampleConfiguration();
+  const auto error = applyChanges({addIntentChange("exports", "lodgements")}, configuration);
   ASSERT_TRUE(error);
   EXPECT_EQ(error->kind, ErrorKind::kPromiseOrder);
   EXPECT_TRUE(configuration.intents.empty());
 }
 
-TEST(Planning, AnOppositeIntentReplacesTheEarlierOne) {
-  Configuration configuration = brigalow();
-  ASSERT_FALSE(applyChanges({intentChange("history", "templates")}, configuration));
-  ASSERT_FALSE(applyChanges({intentChange("templates", "history")}, configuration));
+TEST(Planning, OppositeIntentReplacesEarlierIntent) {
+  Configuration configuration = exampleConfiguration();
+  ASSERT_FALSE(applyChanges({addIntentChange("history", "templates")}, configuration));
+  ASSERT_FALSE(applyChanges({addIntentChange("templates", "history")}, configuration));
   EXPECT_EQ(configuration.intents.size(), 1U);
 }
 
-TEST(Planning, ACycleOverSeveralIntentsIsRefused) {
-  Configuration configuration = brigalow();
+TEST(Planning, IntentThatClosesCycleIsRefused) {
+  Configuration configuration = exampleConfiguration();
   ASSERT_FALSE(
-      applyChanges({workChange("areas", WorkKind::kLookup), intentChange("history", "templates"),
-                    intentChange("templates", "areas")},
+      applyChanges({setWorkTypeChange("areas", WorkKind::kLookup),
+                    addIntentChange("history", "templates"), addIntentChange("templates", "areas")},
                    configuration));
-  const auto error = applyChanges({intentChange("areas", "history")}, configuration);
+  const auto error = applyChanges({addIntentChange("areas", "history")}, configuration);
   ASSERT_TRUE(error);
   EXPECT_EQ(error->kind, ErrorKind::kPromiseOrder);
 }
 
-TEST(Planning, ChangesApplyAllOrNone) {
-  Configuration configuration = brigalow();
+TEST(Planning, FailedChangeLeavesConfigurationUnchanged) {
+  Configuration configuration = exampleConfiguration();
   ConfigurationChange remove;
   remove.type = ChangeType::kRemoveClass;
   remove.name = "nobody";
-  const auto error = applyChanges({workChange("extra", WorkKind::kBulk), remove}, configuration);
+  const auto error =
+      applyChanges({setWorkTypeChange("extra", WorkKind::kBulk), remove}, configuration);
   ASSERT_TRUE(error);
   EXPECT_EQ(error->kind, ErrorKind::kNotFound);
   EXPECT_EQ(configuration.findWorkType("extra"), nullptr);
 }
 
-TEST(Planning, ACallerKeyBelongsToOneClass) {
+TEST(Planning, CallerKeyOfOtherClassAndExcessiveWeightAreRefused) {
   Configuration configuration;
   ConfigurationChange first;
   first.type = ChangeType::kSetClass;
@@ -105,24 +107,24 @@
   EXPECT_TRUE(applyChanges({second}, configuration));
 }
 
-TEST(Planning, APlanShowsTheShedOrderBeforeAndAfter) {
-  const Configuration before = brigalow();
+TEST(Planning, DifferenceEndsWithNewShedOrder) {
+  const Configuration before = exampleConfiguration();
   Configuration after = before;
-  ASSERT_FALSE(applyChanges({intentChange("history", "templates")}, after));
+  ASSERT_FALSE(applyChanges({addIntentChange("history", "templates")}, after));
   const auto lines = describeDifference(before, after);
   ASSERT_GE(lines.size(), 3U);
   EXPECT_EQ(lines.back(), "shed order after:  exports, templates, history, lodgements");
 }
 
-TEST(Planning, NoSequenceOfIntentsInvertsTheKinds) {
+TEST(Planning, RandomIntentsNeverChangeOrderOfKinds) {
   EXPECT_TRUE(rc::check([] {
-    Configuration configuration = brigalow();
+    Configuration configuration = exampleConfiguration();
     const std::vector<std::string> names = {"lodgements", "templates", "history", "exports"};
     const auto pairs = *rc::gen::container<std::vector<std::pair<int, int>>>(
         rc::gen::pair(rc::gen::inRange(0, 4), rc::gen::inRange(0, 4)));
     for (const auto& [higher, lower] : pairs) {
-      applyChanges({intentChange(names[static_cast<std::size_t>(higher)],
-                                 names[static_cast<std::size_t>(lower)])},
+      applyChanges({addIntentChange(names[static_cast<std::size_t>(higher)],
+                                    names[static_cast<std::size_t>(lower)])},
                    configuration);
     }
     const auto order = configuration.shedOrder();
--- a/tests/core/call_model/router_test.cc
+++ b/tests/core/call_model/router_test.cc
@@ -9,7 +9,7 @@
 namespace ramppond {
 namespace {
 
-ServerInfo serverOf(const std::string& name, const std::string& zone) {
+ServerInfo makeServerInfo(const std::string& name, const std::string& zone) {
   ServerInfo info;
   info.name = name;
   info.service = "records";
@@ -22,11 +22,12 @@
 class RouterTest : public testing::Test {
  protected:
   RouterTest() {
-    router_.setServers("records", {serverOf("1", "a"), serverOf("2", "a"), serverOf("3", "b")},
-                       TimePoint(0));
+    router_.setServers(
+        "records", {makeServerInfo("1", "a"), makeServerInfo("2", "a"), makeServerInfo("3", "b")},
+        TimePoint(0));
   }
-  std::set<std::string> chosen(const std::vector<std::string>& excluded = {},
-                               TimePoint now = seconds(1)) {
+  std::set<std::string> chosenServers(const std::vector<std::string>& excluded = {},
+                                      TimePoint now = seconds(1)) {
     std::set<std::string> names;
     for (int draw = 0; draw < 200; ++draw) {
       const auto route = router_.choose("records", excluded, now);
@@ -36,7 +37,7 @@
     }
     return names;
   }
-  void draining(const std::string& server) {
+  void answerDraining(const std::string& server) {
     ServerFeedback feedback;
     feedback.incarnation = 5;
     feedback.draining = true;
@@ -45,58 +46,58 @@
   Router router_{"a", 1};
 };
 
-TEST_F(RouterTest, StaysInItsZoneUntilThatIsBusier) {
-  EXPECT_EQ(chosen(), (std::set<std::string>{"1", "2"}));
+TEST_F(RouterTest, PrefersLocalZoneUntilItIsBusier) {
+  EXPECT_EQ(chosenServers(), (std::set<std::string>{"1", "2"}));
   for (int call = 0; call < 5; ++call) {
     router_.onSent("records", "1");
     router_.onSent("records", "2");
   }
-  EXPECT_EQ(chosen().count("3"), 1U);
+  EXPECT_EQ(chosenServers().count("3"), 1U);
 }
 
-TEST_F(RouterTest, FirstHandDrainingWinsOverTheList) {
-  draining("1");
-  EXPECT_EQ(chosen().count("1"), 0U);
-  router_.setServers("records", {serverOf("1", "a"), serverOf("2", "a")}, seconds(2));
-  EXPECT_EQ(chosen().count("1"), 0U) << "the list lags";
-  ServerInfo restarted = serverOf("1", "a");
+TEST_F(RouterTest, DrainingAnswerOverridesListUntilServerRestarts) {
+  answerDraining("1");
+  EXPECT_EQ(chosenServers().count("1"), 0U);
+  router_.setServers("records", {makeServerInfo("1", "a"), makeServerInfo("2", "a")}, seconds(2));
+  EXPECT_EQ(chosenServers().count("1"), 0U) << "the list lags";
+  ServerInfo restarted = makeServerInfo("1", "a");
   restarted.incarnation = 6;
-  router_.setServers("records", {restarted, serverOf("2", "a")}, seconds(3));
-  EXPECT_EQ(chosen().count("1"), 1U) << "another incarnation is another process";
+  router_.setServers("records", {restarted, makeServerInfo("2", "a")}, seconds(3));
+  EXPECT_EQ(chosenServers().count("1"), 1U) << "another incarnation is another process";
 }
 
-TEST_F(RouterTest, ServersDrainedByTheOperatorGetNothing) {
+TEST_F(RouterTest, ServersDrainedByOperatorAreNotChosen) {
   router_.setDrainedByOperator({"1", "2", "3"});
   EXPECT_FALSE(router_.choose("records", {}, seconds(1)));
   router_.setDrainedByOperator({"2"});
-  EXPECT_EQ(chosen().count("2"), 0U);
-  EXPECT_EQ(chosen().count("1"), 1U);
+  EXPECT_EQ(chosenServers().count("2"), 0U);
+  EXPECT_EQ(chosenServers().count("1"), 1U);
 }
 
-TEST_F(RouterTest, AFailedServerIsPassedOverForAWhile) {
+TEST_F(RouterTest, FailedServerIsAvoidedUntilBackoffEnds) {
   router_.onFailure("records", "1", true, seconds(1));
-  EXPECT_EQ(chosen({}, seconds(1)).count("1"), 0U);
-  EXPECT_EQ(chosen({}, seconds(10)).count("1"), 1U);
+  EXPECT_EQ(chosenServers({}, seconds(1)).count("1"), 0U);
+  EXPECT_EQ(chosenServers({}, seconds(10)).count("1"), 1U);
 }
 
-TEST_F(RouterTest, TriedServersAreTheLastResort) {
-  EXPECT_EQ(chosen({"1", "2"}), (std::set<std::string>{"3"}));
+TEST_F(RouterTest, ExcludedServersAreChosenOnlyAsLastResort) {
+  EXPECT_EQ(chosenServers({"1", "2"}), (std::set<std::string>{"3"}));
   const auto route = router_.choose("records", {"1", "2", "3"}, seconds(1));
   ASSERT_TRUE(route);
   EXPECT_TRUE(route->last_resort);
 }
 
-TEST_F(RouterTest, AnUnreachableServersIncarnationIsForgotten) {
+TEST_F(RouterTest, FailureBeforeSendingClearsIncarnation) {
   router_.onFailure("records", "3", true, seconds(1));
   router_.setDrainedByOperator({"1", "2"});
   EXPECT_EQ(router_.choose("records", {}, seconds(9))->incarnation, 0U);
 }
 
-TEST(ServerRegistry, GivesABoundedSubsetOfBothZones) {
+TEST(ServerRegistry, ServersForReturnsBoundedSubsetOfBothZones) {
   ServerRegistry registry;
   std::vector<ServerInfo> servers;
   for (int index = 0; index < 200; ++index) {
-    servers.push_back(serverOf(std::to_string(index), index % 2 == 0 ? "a" : "b"));
+    servers.push_back(makeServerInfo(std::to_string(index), index % 2 == 0 ? "a" : "b"));
   }
   registry.setPlatformList(servers);
   const ServiceServers subset = registry.serversFor("records", "a", "daemon-1");
@@ -108,9 +109,9 @@
   EXPECT_NE(registry.serversFor("records", "a", "daemon-2").digest, subset.digest);
 }
 
-TEST(ServerRegistry, ADaemonsWordCorrectsTheListAndOlderIncarnationsAreIgnored) {
+TEST(ServerRegistry, SessionOverridesListAndOlderIncarnationIsIgnored) {
   ServerRegistry registry;
-  registry.setPlatformList({serverOf("1", "a")});
+  registry.setPlatformList({makeServerInfo("1", "a")});
   const std::uint64_t before = registry.versionOf("records");
   DaemonSession session;
   session.server = "1";
@@ -125,11 +126,11 @@
   session.draining = false;
   registry.onSession(session, seconds(2));
   EXPECT_EQ(registry.serversFor("records", "a", "d").servers[0].incarnation, 9U);
-  registry.setPlatformList({serverOf("1", "a")});
+  registry.setPlatformList({makeServerInfo("1", "a")});
   EXPECT_TRUE(registry.serversFor("records", "a", "d").servers[0].leaving) << "the list lags";
 }
 
-TEST(ServerRegistry, OtherMembersLearnOnlyWhatChanged) {
+TEST(ServerRegistry, SessionsSinceReturnsOnlyChangedSessions) {
   ServerRegistry registry;
   DaemonSession session;
   for (const std::string name : {"1", "2", "3"}) {
