--- a/control/coordinator/coordinator_process.cc
+++ b/control/coordinator/coordinator_process.cc
@@ -26,7 +26,7 @@
 constexpr Duration kElectionTimeout = milliseconds(500);
 // Shorter than kElectionTimeout: after an outage of the whole system nothing is served until there
 // is a leader.
-constexpr Duration kFirstElectionTimeout = milliseconds(80);
+constexpr Duration kInitialElectionTimeout = milliseconds(80);
 constexpr Duration kHeartbeatInterval = milliseconds(100);
 constexpr Duration kRegistryPullInterval = milliseconds(150);
 // Keeps the log small compared to the disks of control machines.
@@ -118,7 +118,7 @@
   options.quota = bounds_.quota;
   options.raft.id = storage_->id();
   options.raft.election_timeout = kElectionTimeout;
-  options.raft.initial_election_timeout = kFirstElectionTimeout;
+  options.raft.initial_election_timeout = kInitialElectionTimeout;
   options.raft.heartbeat_interval = kHeartbeatInterval;
   options.raft.random_seed = randomNumber64();
   const TimePoint now = EventLoop::now();
--- a/core/admission/inbound_refusal.cc
+++ b/core/admission/inbound_refusal.cc
@@ -16,7 +16,7 @@
       return {kind::fenced, "draining", unavailable, counter::fenced};
     case inbound_refusal::other_instance:
       return {kind::fenced, "other instance", unavailable, counter::fenced};
-    case inbound_refusal::trial_elsewhere:
+    case inbound_refusal::quarantined_elsewhere:
       return {kind::elsewhere, "tried elsewhere", unavailable, counter::none};
     case inbound_refusal::isolation_timed_out:
       return {kind::elsewhere, "not alone", unavailable, counter::none};
--- a/core/admission/isolation_rule.cc
+++ b/core/admission/isolation_rule.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-auto dispatch_mode_of(const suspicion_state& held, bool has_trial) -> dispatch_mode {
+auto dispatch_mode_of(const suspicion_state& held, bool quarantined_here) -> dispatch_mode {
   return std::visit(
       overloaded{[](const unsuspected&) { return dispatch_mode(dispatch_shared{}); },
                  [](const suspected& s) {
@@ -25,8 +25,8 @@
                        dispatch_isolated{s.crashes == 1 ? suspicion::light : suspicion::heavy});
                  },
                  [&](const quarantined&) {
-                   return has_trial ? dispatch_mode(dispatch_isolated{suspicion::heavy})
-                                    : dispatch_mode(dispatch_elsewhere{});
+                   return quarantined_here ? dispatch_mode(dispatch_isolated{suspicion::heavy})
+                                           : dispatch_mode(dispatch_elsewhere{});
                  },
                  [](const blocked& b) { return dispatch_mode(dispatch_blocked{b.until}); }},
       held);
--- a/core/admission/isolation_rule.h
+++ b/core/admission/isolation_rule.h
@@ -36,9 +36,10 @@
 using dispatch_mode =
     std::variant<dispatch_shared, dispatch_isolated, dispatch_elsewhere, dispatch_blocked>;
 
-/// Returns how a request with this suspicion state is dispatched. `has_trial` tells whether this
-/// server runs the trial of the request; it is used only for requests on trial.
-[[nodiscard]] auto dispatch_mode_of(const suspicion_state& held, bool has_trial) -> dispatch_mode;
+/// Returns how a request with this suspicion state is dispatched. `quarantined_here` tells whether
+/// this server runs the trial of the request; it is used only for requests on trial.
+[[nodiscard]] auto dispatch_mode_of(const suspicion_state& held, bool quarantined_here)
+    -> dispatch_mode;
 
 /// Returns how long a request with `left` until its deadline waits for isolation. A request whose
 /// end is held back by its sender waits no longer than its `patience`, since the sender tries
--- a/core/control/control_core.h
+++ b/core/control/control_core.h
@@ -146,7 +146,7 @@
   void onJoin(ControlToken token, const ControlRequest& request, TimePoint now);
   void changeMembersIfDue(TimePoint now);
   void onProxyPoll(ControlToken token, const ControlRequest& request, TimePoint now);
-  ProxyNews proxyNews(const ProxyPoll& poll, TimePoint now);
+  ProxyUpdate proxyUpdate(const ProxyPoll& poll, TimePoint now);
   void onQuotaReport(ControlToken token, const ControlRequest& request, TimePoint now);
   void updateQuotaLimits(TimePoint now);
   void startConfirmationRound(TimePoint now);
@@ -156,10 +156,10 @@
   [[nodiscard]] bool hasProxyUpdates(const HeldProxyPoll& held, TimePoint now) const;
   void answerProxyPoll(ControlToken token, const HeldProxyPoll& held, TimePoint now);
   void answerHeldProxyPolls(TimePoint now);
-  void addTraffic(const ProxyPoll& poll, ProxyNews& news);
-  void addMembers(const ProxyPoll& poll, ProxyNews& news) const;
+  void addTraffic(const ProxyPoll& poll, ProxyUpdate& news);
+  void addMembers(const ProxyPoll& poll, ProxyUpdate& news) const;
   [[nodiscard]] ControlMemberLocation placeOf(const std::string& address) const;
-  void recordMemberZone(const std::string& address, const ProxyNews& news);
+  void recordMemberZone(const std::string& address, const ProxyUpdate& news);
   void proposeEvidence(TimePoint now);
   void loadReplicatedEvidence(TimePoint now);
   void onSessions(ControlToken token, const ControlRequest& request, TimePoint now);
--- a/core/control/control_members.cc
+++ b/core/control/control_members.cc
@@ -51,7 +51,7 @@
   reply.sessions_counter = registry_.sessionsCounter();
   const auto poll = decode<ProxyPoll>(request.proxy_poll);
   if (poll) {
-    reply.proxy_news = encode(proxyNews(*poll, now));
+    reply.proxy_update = encode(proxyUpdate(*poll, now));
   }
   answer(token, std::move(reply));
 }
--- a/core/control/control_messages.h
+++ b/core/control/control_messages.h
@@ -195,7 +195,7 @@
   ControlStatus status;
   std::vector<DaemonSession> sessions;
   std::uint64_t sessions_counter = 0;
-  std::string proxy_news;        ///< kProxyPoll, kSessions: an encoded ProxyNews.
+  std::string proxy_update;      ///< kProxyPoll, kSessions: an encoded ProxyUpdate.
   std::string traffic_document;  ///< kReadTraffic: the operator's text; empty if there is none.
   LogIndex read_index = 0;       ///< kReadIndex.
   std::string quota_answer;      ///< kQuotaReport: an encoded quota_answer.
@@ -221,7 +221,7 @@
     visitor(13, sessions_counter);
     visitor(14, deltas);
     visitor(15, whole_configuration);
-    visitor(16, proxy_news);
+    visitor(16, proxy_update);
     visitor(17, traffic_document);
     visitor(18, read_index);
     visitor(19, quota_answer);
--- a/core/control/control_proxy_polls.cc
+++ b/core/control/control_proxy_polls.cc
@@ -80,14 +80,16 @@
 }
 
 bool ControlCore::awaitsConfirmation(const HeldProxyPoll& held, TimePoint now) const {
-  return held.poll.wants_proof && !read_index_.covers(held.received) && authoritative(now) &&
+  return held.poll.requests_quorum_confirmation && !read_index_.covers(held.received) &&
+         authoritative(now) &&
          now - held.received < std::max(held.due - held.received, kMaximumConfirmationWait);
 }
 
 // Starts one confirmation round for all polls that have arrived since the last round.
 void ControlCore::startConfirmationRound(TimePoint now) {
   const bool wanted = std::any_of(proxy_polls_.begin(), proxy_polls_.end(), [&](const auto& entry) {
-    return entry.second.poll.wants_proof && !read_index_.covers(entry.second.received);
+    return entry.second.poll.requests_quorum_confirmation &&
+           !read_index_.covers(entry.second.received);
   });
   if (!wanted || raft_.leader() == 0) {
     return;
@@ -153,12 +155,12 @@
   }
 }
 
-void ControlCore::addTraffic(const ProxyPoll& poll, ProxyNews& news) {
+void ControlCore::addTraffic(const ProxyPoll& poll, ProxyUpdate& news) {
   if (poll.traffic_index >= state_.traffic().logIndex()) {
     return;
   }
   news.traffic_index = state_.traffic().logIndex();
-  if (poll.takes_differences) {
+  if (poll.accepts_differences) {
     news.traffic_difference = traffic_history_.difference_from(poll.traffic_index);
   }
   if (news.traffic_difference.empty()) {
@@ -171,7 +173,7 @@
   return {address, zone == member_zones_.end() ? std::string() : zone->second};
 }
 
-void ControlCore::addMembers(const ProxyPoll& poll, ProxyNews& news) const {
+void ControlCore::addMembers(const ProxyPoll& poll, ProxyUpdate& news) const {
   std::vector<ControlMemberLocation> members;
   if (poll.has_self) {
     for (const Member& member : raft_.membership().members) {
@@ -190,7 +192,7 @@
 }
 
 // Takes from a member's answer only that member's own zone, on which it is the authority.
-void ControlCore::recordMemberZone(const std::string& address, const ProxyNews& news) {
+void ControlCore::recordMemberZone(const std::string& address, const ProxyUpdate& news) {
   for (const ControlMemberLocation& place : locationsOf(news)) {
     if (place.address == address && !place.zone.empty()) {
       member_zones_[address] = place.zone;
@@ -198,8 +200,8 @@
   }
 }
 
-ProxyNews ControlCore::proxyNews(const ProxyPoll& poll, TimePoint now) {
-  ProxyNews news;
+ProxyUpdate ControlCore::proxyUpdate(const ProxyPoll& poll, TimePoint now) {
+  ProxyUpdate news;
   addTraffic(poll, news);
   const bool knows_this_member = poll.registry_epoch == options_.registry_epoch;
   news.registry_epoch = options_.registry_epoch;
@@ -221,7 +223,7 @@
 
 void ControlCore::answerProxyPoll(ControlToken token, const HeldProxyPoll& held, TimePoint now) {
   const ProxyPoll& poll = held.poll;
-  ProxyNews news = proxyNews(poll, now);
+  ProxyUpdate news = proxyUpdate(poll, now);
   const InstanceRecord* own = poll.has_self ? instances_.find(poll.self.proxy_address) : nullptr;
   if (own != nullptr && own->isNewerThan(poll.self)) {
     news.instances.emplace_back(*own);
@@ -230,7 +232,7 @@
   ControlReply reply;
   reply.authoritative = authoritative(now);
   reply.quorum_confirmed = read_index_.covers(held.received);
-  reply.proxy_news = encode(news);
+  reply.proxy_update = encode(news);
   answer(token, std::move(reply));
 }
 
--- a/core/control/control_session_pulls.cc
+++ b/core/control/control_session_pulls.cc
@@ -57,7 +57,7 @@
   for (const DaemonSession& session : reply->sessions) {
     registry_.onSession(session, now);
   }
-  const auto news = decode<ProxyNews>(reply->proxy_news);
+  const auto news = decode<ProxyUpdate>(reply->proxy_update);
   if (!news) {
     return;
   }
--- a/core/distribution/proxy_messages.cc
+++ b/core/distribution/proxy_messages.cc
@@ -6,7 +6,7 @@
 
 namespace ramppond {
 
-std::vector<ControlMemberLocation> locationsOf(const ProxyNews& news) {
+std::vector<ControlMemberLocation> locationsOf(const ProxyUpdate& news) {
   std::vector<ControlMemberLocation> locations;
   for (std::size_t index = 0; index < news.member_addresses.size(); ++index) {
     const bool has_zone = index < news.member_zones.size();
--- a/core/distribution/proxy_messages.h
+++ b/core/distribution/proxy_messages.h
@@ -22,13 +22,13 @@
   std::uint64_t registry_epoch = 0;    ///< Of the coordinator that registry_counter belongs to.
   std::uint64_t registry_counter = 0;  ///< The coordinator's records are known up to here.
   Duration hold{0};                    ///< How long the answer may be held until there is news.
-  bool wants_proof = false;            ///< Requests an answer that a quorum has confirmed.
-  std::vector<instance_evidence> evidence;  ///< Crash evidence that the coordinator may not know.
-  std::string evidence_service;             ///< Requests evidence of this service.
+  bool requests_quorum_confirmation = false;  ///< Requests an answer that a quorum has confirmed.
+  std::vector<instance_evidence> evidence;    ///< Crash evidence that the coordinator may not know.
+  std::string evidence_service;               ///< Requests evidence of this service.
   std::uint64_t evidence_counter = 0;  ///< Evidence is known up to here, like registry_counter.
   /// Digests of the records held, for a coordinator whose counter is unknown; see record_digests.
   std::vector<std::uint64_t> record_digests;
-  bool takes_differences = false;    ///< A configuration may be sent as a difference.
+  bool accepts_differences = false;  ///< A configuration may be sent as a difference.
   std::uint64_t members_digest = 0;  ///< Of the known coordinators; see digestOf().
 
   template <class Visitor>
@@ -39,12 +39,12 @@
     visitor(4, registry_epoch);
     visitor(5, registry_counter);
     visitor(6, hold);
-    visitor(7, wants_proof);
+    visitor(7, requests_quorum_confirmation);
     visitor(8, evidence);
     visitor(9, evidence_service);
     visitor(10, evidence_counter);
     visitor(11, record_digests);
-    visitor(12, takes_differences);
+    visitor(12, accepts_differences);
     visitor(13, members_digest);
   }
 };
@@ -53,7 +53,7 @@
 constexpr std::uint64_t kNoTrafficWanted = ~std::uint64_t{0};
 
 /// The answer to a ProxyPoll.
-struct ProxyNews {
+struct ProxyUpdate {
   std::uint64_t traffic_index = 0;  ///< Of `traffic` or `traffic_difference`; 0 for no news.
   std::string traffic;              ///< An encoded TrafficConfiguration.
   std::string traffic_difference;   ///< Instead of `traffic`: an encoded traffic_difference.
@@ -94,7 +94,7 @@
 };
 
 /// Returns the coordinators listed in `news`.
-std::vector<ControlMemberLocation> locationsOf(const ProxyNews& news);
+std::vector<ControlMemberLocation> locationsOf(const ProxyUpdate& news);
 /// Returns a digest of `members` that is independent of their order and never 0.
 std::uint64_t digestOf(std::vector<ControlMemberLocation> members);
 
--- a/core/session/proxy_session.cc
+++ b/core/session/proxy_session.cc
@@ -91,14 +91,14 @@
   poll.registry_epoch = registry_epoch_;
   poll.registry_counter = registry_counter_;
   poll.hold = holdOfPoll();
-  poll.wants_proof = options_.wants_proof;
+  poll.requests_quorum_confirmation = options_.requests_quorum_confirmation;
   poll.evidence = evidence_.changes_since(evidence_reported_, std::string(), now);
   poll.evidence_service = evidence_service_;
   poll.evidence_counter = evidence_counter_;
   if (digests_due_) {
     poll.record_digests = digests_.buckets();
   }
-  poll.takes_differences = hasTraffic() && !full_traffic_due_;
+  poll.accepts_differences = hasTraffic() && !full_traffic_due_;
   poll.members_digest = members_digest_;
   return poll;
 }
@@ -120,7 +120,7 @@
                            TimePoint now) {
   const bool current = poll_id == poll_id_;
   const bool answered = reply && reply->error == ErrorKind::kNone;
-  const auto news = answered ? decode<ProxyNews>(reply->proxy_news) : std::nullopt;
+  const auto news = answered ? decode<ProxyUpdate>(reply->proxy_update) : std::nullopt;
   if (current) {
     poll_id_ = 0;
   }
@@ -149,8 +149,8 @@
 
 bool ProxySession::takeCurrentAnswer(const ControlReply& reply, TimePoint now) {
   unconfirmed_answers_ = reply.quorum_confirmed ? 0 : unconfirmed_answers_ + 1;
-  const bool confirmation_missing =
-      options_.wants_proof && hasTraffic() && unconfirmed_answers_ >= kMaximumUnconfirmedAnswers;
+  const bool confirmation_missing = options_.requests_quorum_confirmation && hasTraffic() &&
+                                    unconfirmed_answers_ >= kMaximumUnconfirmedAnswers;
   if (!reply.authoritative || confirmation_missing) {
     unconfirmed_answers_ = 0;
     record_unreported_ = has_record_;
@@ -171,7 +171,7 @@
   }
 }
 
-void ProxySession::takeMembers(const ProxyNews& news, TimePoint now) {
+void ProxySession::takeMembers(const ProxyUpdate& news, TimePoint now) {
   if (news.member_addresses.empty()) {
     return;
   }
@@ -180,7 +180,7 @@
   members_digest_ = digestOf(members);
 }
 
-void ProxySession::takeRecords(const ProxyNews& news) {
+void ProxySession::takeRecords(const ProxyUpdate& news) {
   registry_epoch_ = news.registry_epoch;
   registry_counter_ = news.registry_counter;
   digests_due_ = news.instances.size() >= kManyRecords;
@@ -195,7 +195,7 @@
   }
 }
 
-std::optional<TrafficConfiguration> ProxySession::takeDifference(const ProxyNews& news) {
+std::optional<TrafficConfiguration> ProxySession::takeDifference(const ProxyUpdate& news) {
   const auto difference = decode<traffic_difference>(news.traffic_difference);
   const bool fits = difference && difference->base_index == traffic_index_;
   auto traffic = fits ? apply(*difference, traffic_) : std::nullopt;
@@ -203,7 +203,7 @@
   return traffic;
 }
 
-void ProxySession::takeNews(const ProxyNews& news, bool authoritative) {
+void ProxySession::takeNews(const ProxyUpdate& news, bool authoritative) {
   takeRecords(news);
   // A coordinator without contact to the leader may hold an old version.
   if (!authoritative || news.traffic_index <= traffic_index_) {
@@ -220,7 +220,7 @@
 }
 
 // Evidence received from a coordinator is not reported back to it.
-void ProxySession::takeEvidenceNews(const ProxyNews& news, TimePoint now) {
+void ProxySession::takeEvidenceNews(const ProxyUpdate& news, TimePoint now) {
   evidence_counter_ = news.evidence_counter;
   const bool all_reported = evidence_reported_ == evidence_.counter();
   for (const instance_evidence& evidence : news.evidence) {
--- a/core/session/proxy_session.h
+++ b/core/session/proxy_session.h
@@ -38,7 +38,7 @@
   Duration hold = seconds(1);
   Duration first_hold = milliseconds(300);     ///< Likewise while no configuration is held.
   Duration answer_margin = milliseconds(500);  ///< Added to the hold for network delays.
-  bool wants_proof = false;                    ///< Requests answers that a quorum has confirmed.
+  bool requests_quorum_confirmation = false;   ///< Requests answers that a quorum has confirmed.
 };
 
 /// A poll to send to `address`; the answer is expected within `timeout`.
@@ -90,11 +90,11 @@
   [[nodiscard]] bool isPollDue(TimePoint now) const;
   [[nodiscard]] ProxyPoll makePoll(TimePoint now) const;
   [[nodiscard]] Duration holdOfPoll() const;
-  void takeNews(const ProxyNews& news, bool authoritative);
-  void takeRecords(const ProxyNews& news);
-  void takeMembers(const ProxyNews& news, TimePoint now);
-  std::optional<TrafficConfiguration> takeDifference(const ProxyNews& news);
-  void takeEvidenceNews(const ProxyNews& news, TimePoint now);
+  void takeNews(const ProxyUpdate& news, bool authoritative);
+  void takeRecords(const ProxyUpdate& news);
+  void takeMembers(const ProxyUpdate& news, TimePoint now);
+  std::optional<TrafficConfiguration> takeDifference(const ProxyUpdate& news);
+  void takeEvidenceNews(const ProxyUpdate& news, TimePoint now);
   void supersedeOwnRecord(const InstanceRecord& known);
   bool takeCurrentAnswer(const ControlReply& reply, TimePoint now);
   void tryNextMember(TimePoint now);
--- a/daemon/proxy/crash_guard.cc
+++ b/daemon/proxy/crash_guard.cc
@@ -53,7 +53,7 @@
   return this->ledger.judge(digest, EventLoop::now());
 }
 
-auto crash_guard::may_host_trial(const request_digest& digest) const -> bool {
+auto crash_guard::may_run_quarantined(const request_digest& digest) const -> bool {
   const auto& service = this->context.own.reports().heartbeat().service;
   return is_quarantine_proxy(digest, this->context.settings.peer_address.toString(),
                              this->context.directory.proxiesOf(service));
--- a/daemon/proxy/inbound_request.cc
+++ b/daemon/proxy/inbound_request.cc
@@ -85,15 +85,15 @@
 void InboundRequest::begin() {
   const suspicion_state judged =
       digest_ ? context_.guard.judge(*digest_) : suspicion_state(unsuspected{});
-  const bool may_host_trial =
-      std::holds_alternative<quarantined>(judged) && context_.guard.may_host_trial(*digest_);
+  const bool may_run_quarantined =
+      std::holds_alternative<quarantined>(judged) && context_.guard.may_run_quarantined(*digest_);
   isolated_ = false;
   std::visit(
       overloaded{[&](const dispatch_shared&) { requestAdmission(); },
                  [&](const dispatch_isolated& b) { isolate(b.level); },
-                 [&](const dispatch_elsewhere&) { refuse(inbound_refusal::trial_elsewhere); },
+                 [&](const dispatch_elsewhere&) { refuse(inbound_refusal::quarantined_elsewhere); },
                  [&](const dispatch_blocked& b) { refuseBlocked(b.blocked_until); }},
-      dispatch_mode_of(judged, may_host_trial));
+      dispatch_mode_of(judged, may_run_quarantined));
 }
 
 void InboundRequest::isolate(suspicion level) {
--- a/daemon/proxy/proxy_process.cc
+++ b/daemon/proxy/proxy_process.cc
@@ -54,7 +54,7 @@
   options.incarnation = incarnationNow();
   options.random_seed = randomNumber64();
   const auto renewal = authority_lease(bounds.revocation).renewal_interval();
-  options.wants_proof = renewal.has_value();
+  options.requests_quorum_confirmation = renewal.has_value();
   options.hold = std::min(options.hold, renewal.value_or(options.hold));
   return options;
 }
--- a/tests/compatibility/wire_test.cc
+++ b/tests/compatibility/wire_test.cc
@@ -59,7 +59,7 @@
   table.add<ControlRequest>("control_request");
   table.add<ControlReply>("control_reply");
   table.add<ProxyPoll>("proxy_poll");
-  table.add<ProxyNews>("proxy_news");
+  table.add<ProxyUpdate>("proxy_news");
   table.add<InstanceRecord>("instance_record");
   table.add<traffic_difference>("traffic_difference");
   table.add<TrafficConfiguration>("traffic_configuration");
--- a/tests/core/admission/isolation_rule_test.cc
+++ b/tests/core/admission/isolation_rule_test.cc
@@ -26,7 +26,7 @@
 struct dispatch_mode_case {
   const char* name;
   suspicion_state held;
-  bool has_trial;
+  bool quarantined_here;
   std::string begins;
 };
 
@@ -38,7 +38,8 @@
 class dispatch_mode_table : public testing::TestWithParam<dispatch_mode_case> {};
 
 TEST_P(dispatch_mode_table, follows_the_suspicion_state) {
-  EXPECT_EQ(text_of(dispatch_mode_of(GetParam().held, GetParam().has_trial)), GetParam().begins);
+  EXPECT_EQ(text_of(dispatch_mode_of(GetParam().held, GetParam().quarantined_here)),
+            GetParam().begins);
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/core/control/control_read_index_test.cc
+++ b/tests/core/control/control_read_index_test.cc
@@ -17,7 +17,7 @@
     ProxyPoll poll;
     poll.traffic_index = 1;
     poll.registry_epoch = member + 1;
-    poll.wants_proof = true;
+    poll.requests_quorum_confirmation = true;
     poll.hold = milliseconds(500);
     ControlRequest poll_request;
     poll_request.type = ControlRequestType::kProxyPoll;
--- a/tests/core/session/proxy_session_test.cc
+++ b/tests/core/session/proxy_session_test.cc
@@ -19,7 +19,7 @@
 
 ControlReply reply(std::uint64_t traffic_index, bool authoritative,
                    const std::vector<InstanceRecord>& instances = {}) {
-  ProxyNews news;
+  ProxyUpdate news;
   news.registry_epoch = 7;
   news.registry_counter = 1;
   news.instances.assign(instances.begin(), instances.end());
@@ -31,7 +31,7 @@
   }
   ControlReply reply;
   reply.authoritative = authoritative;
-  reply.proxy_news = encode(news);
+  reply.proxy_update = encode(news);
   return reply;
 }
 
@@ -58,14 +58,14 @@
 }
 
 ControlReply difference(std::uint64_t index, const traffic_difference& sent) {
-  ProxyNews news;
+  ProxyUpdate news;
   news.registry_epoch = 7;
   news.registry_counter = 1;
   news.traffic_index = index;
   news.traffic_difference = encode(sent);
   ControlReply reply;
   reply.authoritative = true;
-  reply.proxy_news = encode(news);
+  reply.proxy_update = encode(news);
   return reply;
 }
 
@@ -76,7 +76,7 @@
 }
 
 bool takesDifferences(const OutgoingPoll& poll) {
-  return decode<ProxyPoll>(poll.request.proxy_poll)->takes_differences;
+  return decode<ProxyPoll>(poll.request.proxy_poll)->accepts_differences;
 }
 
 TEST(ProxySession, MismatchedDifferenceIsRejectedAndTheFullConfigurationRequested) {
@@ -119,7 +119,7 @@
 TEST(ProxySession, UnconfirmedAnswersProveNothingAndSwitchMember) {
   ProxySessionOptions options;
   options.seeds = {"10.0.0.1:1", "10.0.0.2:1"};
-  options.wants_proof = true;
+  options.requests_quorum_confirmation = true;
   ProxySession proxy(options);
   ControlReply confirmed = reply(5, true);
   confirmed.quorum_confirmed = true;
@@ -140,10 +140,10 @@
   ProxySession proxy = session();
   ControlReply confirmed = reply(5, true);
   confirmed.quorum_confirmed = true;
-  ProxyNews broken;
+  ProxyUpdate broken;
   broken.traffic_index = 6;
   broken.traffic = "not a configuration";
-  confirmed.proxy_news = encode(broken);
+  confirmed.proxy_update = encode(broken);
   const auto poll = proxy.takePoll(TimePoint(0));
   EXPECT_FALSE(proxy.onReply(poll->poll_id, confirmed, TimePoint(0)));
 }
@@ -271,7 +271,7 @@
   request.proxy_poll = encode(other);
   const auto answers = member.ask(6, request);
   ASSERT_EQ(answers.size(), 2U);
-  const auto news = decode<ProxyNews>(answers.back().reply.proxy_news);
+  const auto news = decode<ProxyUpdate>(answers.back().reply.proxy_update);
   ASSERT_TRUE(news);
   ASSERT_EQ(news->instances.size(), 1U);
   EXPECT_EQ(news->instances.front().value.proxy_address, "10.0.0.6:1");
