--- a/core/admission/inbound_refusal.h
+++ b/core/admission/inbound_refusal.h
@@ -15,20 +15,20 @@
 enum class inbound_refusal : std::uint8_t {
   draining,               // the server is leaving, or this proxy ends soon
   other_instance,         // the request was addressed to another instance, or no server is known
-  quarantined_elsewhere,  // its quarantine trial is assigned to another server of the service
+  quarantined_elsewhere,  // it is quarantined, and only another server of the service may run it
   isolation_timed_out,    // other suspected requests ran for as long as it was allowed to wait
   blocked,                // it crashes the servers that run it
   breaker_open,           // the server fails its requests
-  queue_full,        // no free slot, and its wait would exceed its patience or the queue is full
-  queue_timeout,     // no slot became free while it waited
-  beyond_rate,       // the rate that the server names has no token for it within its patience
-  deadline_near,     // too little time was left when a slot became free
-  not_confirmed,     // its sender did not send the end of the request, which it had held back
-  no_socket,         // this proxy has no file descriptor left
-  no_connection,     // the server accepts no further connection at present
-  server_gone,       // the server's address refuses connections and none is open
-  declared_not_run,  // the server received it and declares that it did not run
-  connection_lost,   // the server received it, and the connection ended before an answer
+  queue_full,             // no free slot; its wait would exceed its patience or the queue is full
+  queue_timeout,          // no slot became free while it waited
+  beyond_rate,            // the rate that the server names has no token for it within its patience
+  deadline_near,          // too little time was left when a slot became free
+  not_confirmed,          // its sender did not send the end of the request, which it had held back
+  no_socket,              // this proxy has no file descriptor left
+  no_connection,          // the server accepts no further connection at present
+  server_gone,            // the server's address refuses connections and none is open
+  declared_not_run,       // the server received it and declares that it did not run
+  connection_lost,        // the server received it, and the connection ended before an answer
 };
 
 /// What is known about a refused request, which decides where it may be sent next.
--- a/core/admission/isolation_rule.cc
+++ b/core/admission/isolation_rule.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-auto dispatch_mode_of(const suspicion_state& held, bool quarantined_here) -> dispatch_mode {
+auto dispatch_mode_of(const suspicion_state& state, bool quarantined_here) -> dispatch_mode {
   return std::visit(
       overloaded{[](const unsuspected&) { return dispatch_mode(dispatch_shared{}); },
                  [](const suspected& s) {
@@ -29,7 +29,7 @@
                                            : dispatch_mode(dispatch_elsewhere{});
                  },
                  [](const blocked& b) { return dispatch_mode(dispatch_blocked{b.until}); }},
-      held);
+      state);
 }
 
 auto isolation_timeout(suspicion level, Duration left, std::optional<Duration> patience)
--- a/core/admission/isolation_rule.h
+++ b/core/admission/isolation_rule.h
@@ -18,7 +18,7 @@
 
 enum class suspicion : std::uint8_t {
   light,  // in flight at one crash, and most likely innocent
-  heavy,  // in flight at more than one crash, or on trial
+  heavy,  // in flight at more than one crash, or quarantined
 };
 
 /// The request is dispatched regardless of what else runs at the server.
@@ -37,8 +37,8 @@
     std::variant<dispatch_shared, dispatch_isolated, dispatch_elsewhere, dispatch_blocked>;
 
 /// Returns how a request with this suspicion state is dispatched. `quarantined_here` tells whether
-/// this server runs the trial of the request; it is used only for requests on trial.
-[[nodiscard]] auto dispatch_mode_of(const suspicion_state& held, bool quarantined_here)
+/// this server is the one that may run a quarantined request; it is ignored for other requests.
+[[nodiscard]] auto dispatch_mode_of(const suspicion_state& state, bool quarantined_here)
     -> dispatch_mode;
 
 /// Returns how long a request with `left` until its deadline waits for isolation. A request whose
--- a/core/control/control_core.h
+++ b/core/control/control_core.h
@@ -156,10 +156,10 @@
   [[nodiscard]] bool hasProxyUpdates(const HeldProxyPoll& held, TimePoint now) const;
   void answerProxyPoll(ControlToken token, const HeldProxyPoll& held, TimePoint now);
   void answerHeldProxyPolls(TimePoint now);
-  void addTraffic(const ProxyPoll& poll, ProxyUpdate& news);
-  void addMembers(const ProxyPoll& poll, ProxyUpdate& news) const;
+  void addTraffic(const ProxyPoll& poll, ProxyUpdate& update);
+  void addMembers(const ProxyPoll& poll, ProxyUpdate& update) const;
   [[nodiscard]] ControlMemberLocation placeOf(const std::string& address) const;
-  void recordMemberZone(const std::string& address, const ProxyUpdate& news);
+  void recordMemberZone(const std::string& address, const ProxyUpdate& update);
   void proposeEvidence(TimePoint now);
   void loadReplicatedEvidence(TimePoint now);
   void onSessions(ControlToken token, const ControlRequest& request, TimePoint now);
--- a/core/control/control_proxy_polls.cc
+++ b/core/control/control_proxy_polls.cc
@@ -155,16 +155,16 @@
   }
 }
 
-void ControlCore::addTraffic(const ProxyPoll& poll, ProxyUpdate& news) {
+void ControlCore::addTraffic(const ProxyPoll& poll, ProxyUpdate& update) {
   if (poll.traffic_index >= state_.traffic().logIndex()) {
     return;
   }
-  news.traffic_index = state_.traffic().logIndex();
+  update.traffic_index = state_.traffic().logIndex();
   if (poll.accepts_differences) {
-    news.traffic_difference = traffic_history_.difference_from(poll.traffic_index);
+    update.traffic_difference = traffic_history_.difference_from(poll.traffic_index);
   }
-  if (news.traffic_difference.empty()) {
-    news.traffic = traffic_history_.whole();
+  if (update.traffic_difference.empty()) {
+    update.traffic = traffic_history_.whole();
   }
 }
 
@@ -173,7 +173,7 @@
   return {address, zone == member_zones_.end() ? std::string() : zone->second};
 }
 
-void ControlCore::addMembers(const ProxyPoll& poll, ProxyUpdate& news) const {
+void ControlCore::addMembers(const ProxyPoll& poll, ProxyUpdate& update) const {
   std::vector<ControlMemberLocation> members;
   if (poll.has_self) {
     for (const Member& member : raft_.membership().members) {
@@ -186,14 +186,14 @@
     return;
   }
   for (ControlMemberLocation& member : members) {
-    news.member_addresses.push_back(std::move(member.address));
-    news.member_zones.push_back(std::move(member.zone));
+    update.member_addresses.push_back(std::move(member.address));
+    update.member_zones.push_back(std::move(member.zone));
   }
 }
 
 // Takes from a member's answer only that member's own zone, on which it is the authority.
-void ControlCore::recordMemberZone(const std::string& address, const ProxyUpdate& news) {
-  for (const ControlMemberLocation& place : locationsOf(news)) {
+void ControlCore::recordMemberZone(const std::string& address, const ProxyUpdate& update) {
+  for (const ControlMemberLocation& place : locationsOf(update)) {
     if (place.address == address && !place.zone.empty()) {
       member_zones_[address] = place.zone;
     }
@@ -201,38 +201,38 @@
 }
 
 ProxyUpdate ControlCore::proxyUpdate(const ProxyPoll& poll, TimePoint now) {
-  ProxyUpdate news;
-  addTraffic(poll, news);
+  ProxyUpdate update;
+  addTraffic(poll, update);
   const bool knows_this_member = poll.registry_epoch == options_.registry_epoch;
-  news.registry_epoch = options_.registry_epoch;
+  update.registry_epoch = options_.registry_epoch;
   // Control members poll without a record of their own and get all records at once.
   const std::size_t maximum = poll.has_self ? kMaximumRecordsPerAnswer : instances_.size();
   RegistryChanges changes = instances_.changesSince(knows_this_member ? poll.registry_counter : 0,
                                                     maximum, poll.record_digests);
-  news.registry_counter = changes.counter;
-  news.instances = std::move(changes.records);
+  update.registry_counter = changes.counter;
+  update.instances = std::move(changes.records);
   // Control members get all evidence, a daemon only that of its server's service.
-  news.evidence_counter = evidence_.counter();
+  update.evidence_counter = evidence_.counter();
   if (!poll.has_self || !poll.evidence_service.empty()) {
     const std::uint64_t since = knows_this_member ? poll.evidence_counter : 0;
-    news.evidence = evidence_.changes_since(since, poll.evidence_service, now);
+    update.evidence = evidence_.changes_since(since, poll.evidence_service, now);
   }
-  addMembers(poll, news);
-  return news;
+  addMembers(poll, update);
+  return update;
 }
 
 void ControlCore::answerProxyPoll(ControlToken token, const HeldProxyPoll& held, TimePoint now) {
   const ProxyPoll& poll = held.poll;
-  ProxyUpdate news = proxyUpdate(poll, now);
+  ProxyUpdate update = proxyUpdate(poll, now);
   const InstanceRecord* own = poll.has_self ? instances_.find(poll.self.proxy_address) : nullptr;
   if (own != nullptr && own->isNewerThan(poll.self)) {
-    news.instances.emplace_back(*own);
+    update.instances.emplace_back(*own);
   }
-  counters_.configuration_pushes += news.traffic_index == 0 ? 0 : 1;
+  counters_.configuration_pushes += update.traffic_index == 0 ? 0 : 1;
   ControlReply reply;
   reply.authoritative = authoritative(now);
   reply.quorum_confirmed = read_index_.covers(held.received);
-  reply.proxy_update = encode(news);
+  reply.proxy_update = encode(update);
   answer(token, std::move(reply));
 }
 
--- a/core/control/control_session_pulls.cc
+++ b/core/control/control_session_pulls.cc
@@ -57,16 +57,16 @@
   for (const DaemonSession& session : reply->sessions) {
     registry_.onSession(session, now);
   }
-  const auto news = decode<ProxyUpdate>(reply->proxy_update);
-  if (!news) {
+  const auto update = decode<ProxyUpdate>(reply->proxy_update);
+  if (!update) {
     return;
   }
-  recordMemberZone(address, *news);
-  known = {news->registry_epoch, news->registry_counter, news->evidence_counter};
-  for (const auto& record : news->instances) {
+  recordMemberZone(address, *update);
+  known = {update->registry_epoch, update->registry_counter, update->evidence_counter};
+  for (const auto& record : update->instances) {
     instances_.offer(record.value);
   }
-  for (const instance_evidence& evidence : news->evidence) {
+  for (const instance_evidence& evidence : update->evidence) {
     evidence_.offer(evidence, now);
   }
 }
--- a/core/distribution/proxy_messages.cc
+++ b/core/distribution/proxy_messages.cc
@@ -6,12 +6,12 @@
 
 namespace ramppond {
 
-std::vector<ControlMemberLocation> locationsOf(const ProxyUpdate& news) {
+std::vector<ControlMemberLocation> locationsOf(const ProxyUpdate& update) {
   std::vector<ControlMemberLocation> locations;
-  for (std::size_t index = 0; index < news.member_addresses.size(); ++index) {
-    const bool has_zone = index < news.member_zones.size();
+  for (std::size_t index = 0; index < update.member_addresses.size(); ++index) {
+    const bool has_zone = index < update.member_zones.size();
     locations.push_back(
-        {news.member_addresses[index], has_zone ? news.member_zones[index] : std::string()});
+        {update.member_addresses[index], has_zone ? update.member_zones[index] : std::string()});
   }
   return locations;
 }
--- a/core/distribution/proxy_messages.h
+++ b/core/distribution/proxy_messages.h
@@ -13,15 +13,15 @@
 
 namespace ramppond {
 
-/// A long poll of a proxy: the coordinator may hold the answer until there is news. Coordinators
-/// poll each other with the same message, without a record of their own.
+/// A long poll of a proxy: the coordinator may hold the answer until there is an update.
+/// Coordinators poll each other with the same message, without a record of their own.
 struct ProxyPoll {
   bool has_self = false;
   InstanceRecord self;                 ///< The record written by the polling proxy.
   std::uint64_t traffic_index = 0;     ///< Log index of the configuration held; 0 for none.
   std::uint64_t registry_epoch = 0;    ///< Of the coordinator that registry_counter belongs to.
   std::uint64_t registry_counter = 0;  ///< The coordinator's records are known up to here.
-  Duration hold{0};                    ///< How long the answer may be held until there is news.
+  Duration hold{0};  ///< How long the answer may be held until there is an update.
   bool requests_quorum_confirmation = false;  ///< Requests an answer that a quorum has confirmed.
   std::vector<instance_evidence> evidence;    ///< Crash evidence that the coordinator may not know.
   std::string evidence_service;               ///< Requests evidence of this service.
@@ -52,9 +52,9 @@
 /// The traffic_index of a poll that requests no configuration.
 constexpr std::uint64_t kNoTrafficWanted = ~std::uint64_t{0};
 
-/// The answer to a ProxyPoll.
+/// The answer to a ProxyPoll: what is new to the polling proxy.
 struct ProxyUpdate {
-  std::uint64_t traffic_index = 0;  ///< Of `traffic` or `traffic_difference`; 0 for no news.
+  std::uint64_t traffic_index = 0;  ///< Of `traffic` or `traffic_difference`; 0 if both are empty.
   std::string traffic;              ///< An encoded TrafficConfiguration.
   std::string traffic_difference;   ///< Instead of `traffic`: an encoded traffic_difference.
   std::uint64_t registry_epoch = 0;
@@ -93,8 +93,8 @@
   }
 };
 
-/// Returns the coordinators listed in `news`.
-std::vector<ControlMemberLocation> locationsOf(const ProxyUpdate& news);
+/// Returns the coordinators listed in `update`.
+std::vector<ControlMemberLocation> locationsOf(const ProxyUpdate& update);
 /// Returns a digest of `members` that is independent of their order and never 0.
 std::uint64_t digestOf(std::vector<ControlMemberLocation> members);
 
--- a/core/session/proxy_session.cc
+++ b/core/session/proxy_session.cc
@@ -120,11 +120,11 @@
                            TimePoint now) {
   const bool current = poll_id == poll_id_;
   const bool answered = reply && reply->error == ErrorKind::kNone;
-  const auto news = answered ? decode<ProxyUpdate>(reply->proxy_update) : std::nullopt;
+  const auto update = answered ? decode<ProxyUpdate>(reply->proxy_update) : std::nullopt;
   if (current) {
     poll_id_ = 0;
   }
-  if (!news) {
+  if (!update) {
     if (current) {
       record_unreported_ = has_record_;
       tryNextMember(now);
@@ -132,18 +132,18 @@
     return false;
   }
   onLeaderNamed(reply->leader_address);
-  const bool member_restarted = registry_epoch_ != 0 && news->registry_epoch != registry_epoch_;
+  const bool member_restarted = registry_epoch_ != 0 && update->registry_epoch != registry_epoch_;
   if (member_restarted) {
     evidence_reported_ = 0;
   } else if (current) {
     evidence_reported_ = evidence_in_poll_;
   }
-  takeEvidenceNews(*news, now);
-  takeNews(*news, reply->authoritative);
+  takeEvidenceUpdate(*update, now);
+  takeUpdate(*update, reply->authoritative);
   if (reply->authoritative) {
-    takeMembers(*news, now);
+    takeMembers(*update, now);
   }
-  const bool is_up_to_date = traffic_index_ >= news->traffic_index;
+  const bool is_up_to_date = traffic_index_ >= update->traffic_index;
   return current && takeCurrentAnswer(*reply, now) && is_up_to_date;
 }
 
@@ -171,20 +171,20 @@
   }
 }
 
-void ProxySession::takeMembers(const ProxyUpdate& news, TimePoint now) {
-  if (news.member_addresses.empty()) {
+void ProxySession::takeMembers(const ProxyUpdate& update, TimePoint now) {
+  if (update.member_addresses.empty()) {
     return;
   }
-  const std::vector<ControlMemberLocation> members = locationsOf(news);
+  const std::vector<ControlMemberLocation> members = locationsOf(update);
   members_.on_members(members, now);
   members_digest_ = digestOf(members);
 }
 
-void ProxySession::takeRecords(const ProxyUpdate& news) {
-  registry_epoch_ = news.registry_epoch;
-  registry_counter_ = news.registry_counter;
-  digests_due_ = news.instances.size() >= kManyRecords;
-  for (const auto& received : news.instances) {
+void ProxySession::takeRecords(const ProxyUpdate& update) {
+  registry_epoch_ = update.registry_epoch;
+  registry_counter_ = update.registry_counter;
+  digests_due_ = update.instances.size() >= kManyRecords;
+  for (const auto& received : update.instances) {
     const InstanceRecord& record = received.value;
     if (has_record_ && record.proxy_address == record_.proxy_address) {
       supersedeOwnRecord(record);
@@ -195,35 +195,35 @@
   }
 }
 
-std::optional<TrafficConfiguration> ProxySession::takeDifference(const ProxyUpdate& news) {
-  const auto difference = decode<traffic_difference>(news.traffic_difference);
+std::optional<TrafficConfiguration> ProxySession::takeDifference(const ProxyUpdate& update) {
+  const auto difference = decode<traffic_difference>(update.traffic_difference);
   const bool fits = difference && difference->base_index == traffic_index_;
   auto traffic = fits ? apply(*difference, traffic_) : std::nullopt;
   full_traffic_due_ = !traffic;
   return traffic;
 }
 
-void ProxySession::takeNews(const ProxyUpdate& news, bool authoritative) {
-  takeRecords(news);
+void ProxySession::takeUpdate(const ProxyUpdate& update, bool authoritative) {
+  takeRecords(update);
   // A coordinator without contact to the leader may hold an old version.
-  if (!authoritative || news.traffic_index <= traffic_index_) {
+  if (!authoritative || update.traffic_index <= traffic_index_) {
     return;
   }
-  auto traffic = news.traffic_difference.empty() ? decode<TrafficConfiguration>(news.traffic)
-                                                 : takeDifference(news);
+  auto traffic = update.traffic_difference.empty() ? decode<TrafficConfiguration>(update.traffic)
+                                                   : takeDifference(update);
   if (traffic) {
     traffic_ = std::move(*traffic);
-    traffic_index_ = news.traffic_index;
+    traffic_index_ = update.traffic_index;
     traffic_changed_ = true;
     full_traffic_due_ = false;
   }
 }
 
 // Evidence received from a coordinator is not reported back to it.
-void ProxySession::takeEvidenceNews(const ProxyUpdate& news, TimePoint now) {
-  evidence_counter_ = news.evidence_counter;
+void ProxySession::takeEvidenceUpdate(const ProxyUpdate& update, TimePoint now) {
+  evidence_counter_ = update.evidence_counter;
   const bool all_reported = evidence_reported_ == evidence_.counter();
-  for (const instance_evidence& evidence : news.evidence) {
+  for (const instance_evidence& evidence : update.evidence) {
     if (evidence_.offer(evidence, now)) {
       new_evidence_.push_back(evidence);
     }
--- a/core/session/proxy_session.h
+++ b/core/session/proxy_session.h
@@ -34,7 +34,7 @@
   std::uint64_t incarnation = 1;   ///< Of this process; raised if an earlier one was higher.
   std::uint64_t random_seed = 1;  ///< Differs between proxies; also spreads them over coordinators.
   /// How long a coordinator may hold a poll. A longer time delays the detection of lost polls; a
-  /// shorter one causes more polls without news.
+  /// shorter one causes more polls without an update.
   Duration hold = seconds(1);
   Duration first_hold = milliseconds(300);     ///< Likewise while no configuration is held.
   Duration answer_margin = milliseconds(500);  ///< Added to the hold for network delays.
@@ -90,11 +90,11 @@
   [[nodiscard]] bool isPollDue(TimePoint now) const;
   [[nodiscard]] ProxyPoll makePoll(TimePoint now) const;
   [[nodiscard]] Duration holdOfPoll() const;
-  void takeNews(const ProxyUpdate& news, bool authoritative);
-  void takeRecords(const ProxyUpdate& news);
-  void takeMembers(const ProxyUpdate& news, TimePoint now);
-  std::optional<TrafficConfiguration> takeDifference(const ProxyUpdate& news);
-  void takeEvidenceNews(const ProxyUpdate& news, TimePoint now);
+  void takeUpdate(const ProxyUpdate& update, bool authoritative);
+  void takeRecords(const ProxyUpdate& update);
+  void takeMembers(const ProxyUpdate& update, TimePoint now);
+  std::optional<TrafficConfiguration> takeDifference(const ProxyUpdate& update);
+  void takeEvidenceUpdate(const ProxyUpdate& update, TimePoint now);
   void supersedeOwnRecord(const InstanceRecord& known);
   bool takeCurrentAnswer(const ControlReply& reply, TimePoint now);
   void tryNextMember(TimePoint now);
--- a/daemon/proxy/crash_guard.h
+++ b/daemon/proxy/crash_guard.h
@@ -38,7 +38,7 @@
 
   /// How a request may run at the local server.
   [[nodiscard]] auto judge(const request_digest& digest) const -> suspicion_state;
-  /// Whether a request on trial may run at the local server.
+  /// Whether a quarantined request may run at the local server.
   [[nodiscard]] auto may_run_quarantined(const request_digest& digest) const -> bool;
   /// Another proxy reports that a server was lost while it ran this request.
   void on_reported_crash(const request_digest& digest);
--- a/tests/core/admission/inbound_refusal_test.cc
+++ b/tests/core/admission/inbound_refusal_test.cc
@@ -41,7 +41,7 @@
                                  503, counter::fenced},
                     refusal_case{"other_instance", inbound_refusal::other_instance, kind::fenced,
                                  "other instance", 503, counter::fenced},
-                    refusal_case{"trial_elsewhere", inbound_refusal::quarantined_elsewhere,
+                    refusal_case{"quarantined_elsewhere", inbound_refusal::quarantined_elsewhere,
                                  kind::elsewhere, "tried elsewhere", 503, counter::none},
                     refusal_case{"not_alone", inbound_refusal::isolation_timed_out, kind::elsewhere,
                                  "not alone", 503, counter::none},
--- a/tests/core/admission/isolation_rule_test.cc
+++ b/tests/core/admission/isolation_rule_test.cc
@@ -25,7 +25,7 @@
 
 struct dispatch_mode_case {
   const char* name;
-  suspicion_state held;
+  suspicion_state state;
   bool quarantined_here;
   std::string begins;
 };
@@ -38,7 +38,7 @@
 class dispatch_mode_table : public testing::TestWithParam<dispatch_mode_case> {};
 
 TEST_P(dispatch_mode_table, follows_the_suspicion_state) {
-  EXPECT_EQ(text_of(dispatch_mode_of(GetParam().held, GetParam().quarantined_here)),
+  EXPECT_EQ(text_of(dispatch_mode_of(GetParam().state, GetParam().quarantined_here)),
             GetParam().begins);
 }
 
@@ -48,12 +48,12 @@
                     dispatch_mode_case{"one_crash", suspected{1}, false, "alone, light"},
                     dispatch_mode_case{"two_crashes", suspected{2}, false, "alone, heavy"},
                     dispatch_mode_case{"many_crashes", suspected{9}, true, "alone, heavy"},
-                    dispatch_mode_case{"trial_here", quarantined{}, true, "alone, heavy"},
-                    dispatch_mode_case{"trial_elsewhere", quarantined{}, false, "elsewhere"},
+                    dispatch_mode_case{"quarantined_here", quarantined{}, true, "alone, heavy"},
+                    dispatch_mode_case{"quarantined_elsewhere", quarantined{}, false, "elsewhere"},
                     dispatch_mode_case{"blocked", blocked{seconds(7)}, false,
                                        "nowhere until 7000000"},
-                    dispatch_mode_case{"blocked_at_the_place_of_its_trial", blocked{seconds(7)},
-                                       true, "nowhere until 7000000"}),
+                    dispatch_mode_case{"blocked_where_quarantined", blocked{seconds(7)}, true,
+                                       "nowhere until 7000000"}),
     [](const auto& info) { return std::string(info.param.name); });
 
 struct wait_case {
--- a/tests/core/session/proxy_session_test.cc
+++ b/tests/core/session/proxy_session_test.cc
@@ -19,19 +19,19 @@
 
 ControlReply reply(std::uint64_t traffic_index, bool authoritative,
                    const std::vector<InstanceRecord>& instances = {}) {
-  ProxyUpdate news;
-  news.registry_epoch = 7;
-  news.registry_counter = 1;
-  news.instances.assign(instances.begin(), instances.end());
+  ProxyUpdate update;
+  update.registry_epoch = 7;
+  update.registry_counter = 1;
+  update.instances.assign(instances.begin(), instances.end());
   if (traffic_index != 0) {
     TrafficConfiguration traffic;
     traffic.number = traffic_index;
-    news.traffic_index = traffic_index;
-    news.traffic = encode(traffic);
+    update.traffic_index = traffic_index;
+    update.traffic = encode(traffic);
   }
   ControlReply reply;
   reply.authoritative = authoritative;
-  reply.proxy_update = encode(news);
+  reply.proxy_update = encode(update);
   return reply;
 }
 
@@ -58,14 +58,14 @@
 }
 
 ControlReply difference(std::uint64_t index, const traffic_difference& sent) {
-  ProxyUpdate news;
-  news.registry_epoch = 7;
-  news.registry_counter = 1;
-  news.traffic_index = index;
-  news.traffic_difference = encode(sent);
+  ProxyUpdate update;
+  update.registry_epoch = 7;
+  update.registry_counter = 1;
+  update.traffic_index = index;
+  update.traffic_difference = encode(sent);
   ControlReply reply;
   reply.authoritative = true;
-  reply.proxy_update = encode(news);
+  reply.proxy_update = encode(update);
   return reply;
 }
 
@@ -75,17 +75,17 @@
   return configuration;
 }
 
-bool takesDifferences(const OutgoingPoll& poll) {
+bool acceptsDifferences(const OutgoingPoll& poll) {
   return decode<ProxyPoll>(poll.request.proxy_poll)->accepts_differences;
 }
 
 TEST(ProxySession, MismatchedDifferenceIsRejectedAndTheFullConfigurationRequested) {
   ProxySession proxy = session();
   auto poll = proxy.takePoll(seconds(0));
-  EXPECT_FALSE(takesDifferences(*poll));
+  EXPECT_FALSE(acceptsDifferences(*poll));
   proxy.onReply(poll->poll_id, reply(5, true), seconds(0));
   poll = proxy.takePoll(seconds(1));
-  EXPECT_TRUE(takesDifferences(*poll));
+  EXPECT_TRUE(acceptsDifferences(*poll));
   const auto fitting = difference_of(5, numbered(5), numbered(6));
   proxy.onReply(poll->poll_id, difference(6, fitting), seconds(1));
   EXPECT_EQ(proxy.traffic().number, 6U);
@@ -94,10 +94,10 @@
   proxy.onReply(poll->poll_id, difference(7, of_another_base), seconds(2));
   EXPECT_EQ(proxy.traffic().number, 6U);
   poll = proxy.takePoll(seconds(3));
-  EXPECT_FALSE(takesDifferences(*poll));
+  EXPECT_FALSE(acceptsDifferences(*poll));
   proxy.onReply(poll->poll_id, reply(7, true), seconds(3));
   poll = proxy.takePoll(seconds(4));
-  EXPECT_TRUE(takesDifferences(*poll));
+  EXPECT_TRUE(acceptsDifferences(*poll));
   auto damaged = difference_of(7, numbered(7), numbered(8));
   damaged.digest += 1;
   proxy.onReply(poll->poll_id, difference(8, damaged), seconds(4));
@@ -271,10 +271,10 @@
   request.proxy_poll = encode(other);
   const auto answers = member.ask(6, request);
   ASSERT_EQ(answers.size(), 2U);
-  const auto news = decode<ProxyUpdate>(answers.back().reply.proxy_update);
-  ASSERT_TRUE(news);
-  ASSERT_EQ(news->instances.size(), 1U);
-  EXPECT_EQ(news->instances.front().value.proxy_address, "10.0.0.6:1");
+  const auto update = decode<ProxyUpdate>(answers.back().reply.proxy_update);
+  ASSERT_TRUE(update);
+  ASSERT_EQ(update->instances.size(), 1U);
+  EXPECT_EQ(update->instances.front().value.proxy_address, "10.0.0.6:1");
 }
 
 // A member applies its log before it serves requests. Guards against a start delayed by hundreds of
